--- a/crates/edge/src/refusal.rs
+++ b/crates/edge/src/refusal.rs
@@ -204,7 +204,7 @@
 
 /// The answer for a reason. `left` is the time that the caller still has.
 pub(crate) fn refuse(core: &Core, id: &str, reason: Reason, left: Ms) -> Response<Out> {
-    let retry = reason.over().map(|over| sched::comeback::retry_after(over, left, core.draw()));
+    let retry = reason.over().map(|over| sched::retry_after::retry_after(over, left, core.draw()));
     let problem = Problem { code: reason.name(), detail: reason.detail() };
     // Two strings always serialize.
     let mut response = Response::new(whole(serde_json::to_vec(&problem).unwrap_or_default()));
--- a/crates/sched/src/lib.rs
+++ b/crates/sched/src/lib.rs
@@ -14,7 +14,7 @@
 //! | [`sample`] | a burst of ordinary successes | logs take the processor's time |
 //! | [`duty`] | few large hosts among many small ones | what one host does for many falls to a small one |
 //! | [`source`] | hundreds of hosts that follow one store | its load grows with the fleet; a change wakes all hosts there |
-//! | [`comeback`] | refused callers | they return at once, or all together |
+//! | [`retry_after`] | refused callers | they return at once, or all together |
 //! | [`limit`] | a target in need that says how much it takes from all hosts | each host goes on sending its full share |
 //! | [`evacuation`] | a failure domain that is emptied, from several sources | old word brings work back to it |
 //! | [`roster`] | a cut through the fleet | each side takes the whole of a common limit |
@@ -22,7 +22,6 @@
 
 pub mod batch;
 pub mod budget;
-pub mod comeback;
 pub mod directory;
 pub mod duty;
 pub mod estimate;
@@ -33,6 +32,7 @@
 pub mod place;
 pub mod poison;
 pub mod reading;
+pub mod retry_after;
 pub mod roster;
 pub mod sample;
 pub mod source;
--- a/crates/sched/tests/small.rs
+++ b/crates/sched/tests/small.rs
@@ -3,10 +3,10 @@
 use base::{Ms, PoolId, TargetId};
 use catalog::{Backend, Batch, Repeat, Residency, Route, Stage};
 use sched::budget::{Allowance, Budget};
-use sched::comeback::retry_after;
 use sched::estimate::Estimate;
 use sched::health::{Health, Outcome};
 use sched::poison::{Audience, MEMORY, Poison, SUSPECT, audience};
+use sched::retry_after::retry_after;
 use sched::sample::Sampler;
 
 fn service() -> PoolId {
