--- a/crates/edge/src/core.rs
+++ b/crates/edge/src/core.rs
@@ -11,7 +11,7 @@
 use sched::estimate::Estimate;
 use sched::poison::Poison;
 use sched::sample::Sampler;
-use sched::source::Sources;
+use sched::store_reader::StoreReaders;
 use std::sync::atomic::{AtomicBool, AtomicU64, Ordering};
 use std::sync::{Arc, Mutex, MutexGuard, PoisonError};
 use tokio::sync::watch;
@@ -49,7 +49,7 @@
     poison: Mutex<Poison>,
     estimate: Mutex<Estimate>,
     directory: Mutex<Directory>,
-    sources: Mutex<Sources>,
+    sources: Mutex<StoreReaders>,
     /// Whether this host reads the store itself.
     reading: watch::Sender<bool>,
     /// Changes when a read has proved the configuration.
@@ -203,7 +203,7 @@
     }
 
     /// Which hosts read the store.
-    pub(crate) fn sources(&self) -> MutexGuard<'_, Sources> {
+    pub(crate) fn sources(&self) -> MutexGuard<'_, StoreReaders> {
         lock(&self.sources)
     }
 
--- a/crates/edge/src/source.rs
+++ b/crates/edge/src/source.rs
@@ -1,9 +1,9 @@
-//! Follows the host of the failure domain that reads the platform's store; see [`sched::source`].
+//! Follows the host of the failure domain that reads the platform's store; see [`sched::store_reader`].
 
 use base::{HostId, Ms};
 use catalog::Proof;
 use logs::note;
-use sched::source::SourceFault;
+use sched::store_reader::ReaderFault;
 use std::net::SocketAddr;
 use std::sync::Arc;
 use wire::StoreQuery;
@@ -84,7 +84,7 @@
     let named = named(core, now);
     if matches!(named, Some(Owner::Me)) && core.blind() {
         // The store turns this host away, or it is cut off: another may still be served.
-        core.sources().failed(now, core.members.me(), SourceFault::Blind);
+        core.sources().failed(now, core.members.me(), ReaderFault::Stale);
     }
     let asked = core.sources().reads(now);
     match named {
@@ -126,14 +126,14 @@
     match answer {
         Err(err) => {
             note!(logs::Event::PeerFailed, host = %host, call = "store", why = %err);
-            core.sources().failed(now, host, SourceFault::Unreachable);
+            core.sources().failed(now, host, ReaderFault::Unreachable);
         }
         Ok(news) => match shared::take(core, directory, sent, news) {
             Ok(()) if !core.blind() => core.sources().helped(),
             taken => {
                 let why = taken.err().map(|err| err.to_string());
                 note!(logs::Event::PeerFailed, host = %host, call = "store", why);
-                core.sources().failed(now, host, SourceFault::Blind);
+                core.sources().failed(now, host, ReaderFault::Stale);
                 read_once(core, directory).await;
             }
         },
--- a/crates/sched/src/lib.rs
+++ b/crates/sched/src/lib.rs
@@ -13,7 +13,7 @@
 //! | [`poison`] | a request that crashes whatever runs it | its re-sends take the targets down in turn |
 //! | [`sample`] | a burst of ordinary successes | logs take the processor's time |
 //! | [`duty`] | few large hosts among many small ones | what one host does for many falls to a small one |
-//! | [`source`] | hundreds of hosts that follow one store | its load grows with the fleet; a change wakes all hosts there |
+//! | [`store_reader`] | hundreds of hosts that follow one store | its load grows with the fleet; a change wakes all hosts there |
 //! | [`retry_after`] | refused callers | they return at once, or all together |
 //! | [`limit`] | a target in need that says how much it takes from all hosts | each host goes on sending its full share |
 //! | [`evacuation`] | a failure domain that is emptied, from several sources | old word brings work back to it |
@@ -35,5 +35,5 @@
 pub mod retry_after;
 pub mod roster;
 pub mod sample;
-pub mod source;
+pub mod store_reader;
 pub mod warmup;
--- a/crates/sched/src/source.rs
+++ b/crates/sched/src/store_reader.rs
@@ -36,23 +36,23 @@
 
 /// Why a host that was asked did not help.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
-pub enum SourceFault {
+pub enum ReaderFault {
     /// It didn't answer.
     Unreachable,
     /// It answered, but what it knows of the store is too old.
-    Blind,
+    Stale,
 }
 
 /// What one host knows of the others as readers of the store.
 #[derive(Debug, Default)]
-pub struct Sources {
+pub struct StoreReaders {
     asked: Option<Ms>,
     alone: Option<Ms>,
     passed: HashMap<HostId, Ms>,
     unreachable: u32,
 }
 
-impl Sources {
+impl StoreReaders {
     /// Another host asks this one.
     pub fn asked(&mut self, now: Ms) {
         self.asked = Some(now);
@@ -75,12 +75,12 @@
     }
 
     /// A host that was asked, or this one itself, did not help.
-    pub fn failed(&mut self, now: Ms, host: &HostId, fault: SourceFault) {
+    pub fn failed(&mut self, now: Ms, host: &HostId, fault: ReaderFault) {
         self.passed.retain(|_, until| *until > now);
         self.passed.insert(host.clone(), now + PASS);
         match fault {
-            SourceFault::Blind => self.unreachable = 0,
-            SourceFault::Unreachable => self.unreachable += 1,
+            ReaderFault::Stale => self.unreachable = 0,
+            ReaderFault::Unreachable => self.unreachable += 1,
         }
         if self.unreachable >= UNREACHABLE {
             self.unreachable = 0;
