--- a/crates/edge/src/members.rs
+++ b/crates/edge/src/members.rs
@@ -3,7 +3,7 @@
 use base::{Clock, DomainId, HostId, Ms, PoolId, RegionId, TargetId};
 use gossip::{Node, NodeConfig};
 use peer::{StagePeers, StageServer, View, ViewHost, Wire};
-use sched::duty;
+use sched::assignment;
 use std::collections::HashMap;
 use std::net::SocketAddr;
 use std::sync::{Arc, Mutex, MutexGuard, PoisonError};
@@ -145,7 +145,7 @@
         let sound =
             |h: &&ViewHost| fits(h) && suspects.get(&h.host).is_none_or(|until| *until <= now);
         let sound: Vec<&ViewHost> = hosts.iter().filter(sound).collect();
-        let found = duty::holder(key, &sound, |h| h.host.as_str(), |h| h.capacity)?;
+        let found = assignment::assignee(key, &sound, |h| h.host.as_str(), |h| h.capacity)?;
         Some(match found.host == self.me {
             true => Owner::Me,
             false => Owner::Peer { host: found.host.clone(), addr: found.address },
@@ -204,7 +204,7 @@
         let hosts = self.view.hosts();
         let others: Vec<&ViewHost> =
             hosts.iter().filter(|h| h.host != self.me && fits(h)).collect();
-        let told = duty::audience(self.me.as_str(), &others, |h| h.host.as_str(), most);
+        let told = assignment::recipients(self.me.as_str(), &others, |h| h.host.as_str(), most);
         for part in told.chunks(TOLD_AT_ONCE) {
             let calls = part.iter().map(|h| self.tell_one(&h.host, h.address, news.clone()));
             futures::future::join_all(calls).await;
--- a/crates/sched/src/duty.rs
+++ b/crates/sched/src/assignment.rs
@@ -4,7 +4,7 @@
 //! calls of a region or reads the store for its domain. Without it the duty falls to a small host
 //! nine times in ten, whose processor and link then bound what all its peers get done.
 //!
-//! Whom a host tells something is a choice of the same kind: [`audience`] spreads it.
+//! Whom a host tells something is a choice of the same kind: [`recipients`] spreads it.
 //!
 //! All hosts that see the same others choose the same one, and choices move as little as they can
 //! when hosts come and go: rendezvous hashing, among the hosts that are large enough.
@@ -18,7 +18,7 @@
 /// The host that does the duty `key` names; none where there are no hosts.
 ///
 /// `capacity` is a host's processing power in any unit; 0 where it isn't known.
-pub fn holder<'a, T>(
+pub fn assignee<'a, T>(
     key: &[u8],
     hosts: &[&'a T],
     name: impl Fn(&T) -> &str,
@@ -31,7 +31,7 @@
 
 /// How many of `hosts` come before `me` in the order of hosts that `key` names, in which the first
 /// few share what all of them together may do; none where `me` isn't one of them.
-pub fn place<'a>(
+pub fn position<'a>(
     key: &str,
     me: &HostId,
     hosts: impl IntoIterator<Item = &'a HostId>,
@@ -48,7 +48,7 @@
 
 /// The hosts that `me` tells something, `most` of them: different hosts tell different ones, so that
 /// none hears from a whole fleet while others hear nothing.
-pub fn audience<'a, T>(
+pub fn recipients<'a, T>(
     me: &str,
     hosts: &[&'a T],
     name: impl Fn(&T) -> &str,
--- a/crates/sched/src/lib.rs
+++ b/crates/sched/src/lib.rs
@@ -12,7 +12,7 @@
 //! | [`budget`] | failing targets and repeated sends | repeats multiply the load when it hurts |
 //! | [`poison`] | a request that crashes whatever runs it | its re-sends take the targets down in turn |
 //! | [`sample`] | a burst of ordinary successes | logs take the processor's time |
-//! | [`duty`] | few large hosts among many small ones | what one host does for many falls to a small one |
+//! | [`assignment`] | few large hosts among many small ones | what one host does for many falls to a small one |
 //! | [`store_reader`] | hundreds of hosts that follow one store | its load grows with the fleet; a change wakes all hosts there |
 //! | [`retry_after`] | refused callers | they return at once, or all together |
 //! | [`limit`] | a target in need that says how much it takes from all hosts | each host goes on sending its full share |
@@ -20,10 +20,10 @@
 //! | [`roster`] | a cut through the fleet | each side takes the whole of a common limit |
 //! | [`warmup`] | targets that come back cold into a burst | they fall over again |
 
+pub mod assignment;
 pub mod batch;
 pub mod budget;
 pub mod directory;
-pub mod duty;
 pub mod estimate;
 pub mod evacuation;
 pub mod health;
--- a/crates/sched/src/limit.rs
+++ b/crates/sched/src/limit.rs
@@ -18,7 +18,7 @@
 
 use base::{HostId, Ms};
 
-use crate::duty;
+use crate::assignment;
 
 /// Time between two requests of all hosts that have no part in the limit, ms: one in two seconds
 /// of a limit's own slack, and some.
@@ -55,9 +55,9 @@
 ) -> Part {
     let near: Vec<&HostId> = near.into_iter().collect();
     let most = (per_second + SENDERS) as u32;
-    match duty::place(target, me, near.iter().copied()) {
+    match assignment::position(target, me, near.iter().copied()) {
         Some(before) if before < most => Part::Shares(most.min(near.len() as u32)),
-        _ => Part::None { before: duty::place(target, me, all).unwrap_or(0) },
+        _ => Part::None { before: assignment::position(target, me, all).unwrap_or(0) },
     }
 }
 
--- a/crates/sched/src/warmup.rs
+++ b/crates/sched/src/warmup.rs
@@ -20,7 +20,7 @@
 use base::{HostId, Ms};
 use std::collections::VecDeque;
 
-use crate::duty;
+use crate::assignment;
 
 /// Span of the limit, ms, with the time for which requests may differ on their way to a target.
 const SECOND: Ms = Ms(1_100);
@@ -57,7 +57,7 @@
     let agreed = (limit * AGREED).max(0.0) as u32;
     let hosts: Vec<&HostId> = hosts.into_iter().collect();
     let senders = agreed.min(hosts.len() as u32);
-    match duty::place(target, me, hosts) {
+    match assignment::position(target, me, hosts) {
         Some(before) if before < senders => agreed / senders,
         _ => 0,
     }
--- a/crates/sched/tests/duty.rs
+++ b/crates/sched/tests/assignment.rs
@@ -1,6 +1,6 @@
 //! Who composes and who reads, in fleets of hosts of different size.
 
-use sched::duty::{audience, holder};
+use sched::assignment::{assignee, recipients};
 use std::collections::HashSet;
 
 struct Host {
@@ -15,7 +15,7 @@
 }
 
 fn choose<'a>(hosts: &[&'a Host], key: &str) -> Option<&'a Host> {
-    holder(key.as_bytes(), hosts, |h| &h.name, |h| h.capacity)
+    assignee(key.as_bytes(), hosts, |h| &h.name, |h| h.capacity)
 }
 
 // Callers of a region wait behind one host that has an eighth of a core for all stage calls, beside
@@ -62,7 +62,7 @@
     let hosts: Vec<&String> = names.iter().collect();
     let mut heard = std::collections::HashMap::new();
     for teller in 0..50 {
-        let told = audience(&format!("edge-north-{teller}"), &hosts, |n| n.as_str(), 12);
+        let told = recipients(&format!("edge-north-{teller}"), &hosts, |n| n.as_str(), 12);
         assert_eq!(told.len(), 12);
         told.into_iter().for_each(|n| *heard.entry(n.clone()).or_insert(0) += 1);
     }
