--- a/crates/edge/src/choose.rs
+++ b/crates/edge/src/choose.rs
@@ -1,7 +1,7 @@
 //! From the known targets to a choice.
 
 use base::{DomainId, Ms};
-use sched::place::{self, Candidate, Distance};
+use sched::placement::{self, Candidate, Distance};
 use std::sync::Arc;
 
 use crate::core::Core;
@@ -60,8 +60,8 @@
     let candidates: Vec<Candidate<'_>> =
         open.iter().map(|l| candidate(core, now, l, want)).collect();
     let chosen = match want {
-        Want::Plain { risky } => place::plain(&candidates, risky),
-        Want::Engine { subject, copy, .. } => place::engine(&candidates, subject, copy),
+        Want::Plain { risky } => placement::plain(&candidates, risky),
+        Want::Engine { subject, copy, .. } => placement::engine(&candidates, subject, copy),
     };
     chosen.map(|i| open[i].clone()).ok_or(barrier)
 }
@@ -106,13 +106,13 @@
         distance: distance(core, home, &link.entry.domain),
         slots: link.entry.slots,
         load: link.load(now),
-        time: health.time(),
-        fails: health.fails(now),
+        latency: health.latency(),
+        failure_rate: health.failure_rate(now),
         usable: health.usable(now),
-        until: health.until().unwrap_or(Ms::ZERO),
+        ejected_until: health.ejected_until().unwrap_or(Ms::ZERO),
         trial: health.on_trial(),
         wait: link.backlog().wait(now),
-        knows,
+        cached: knows,
     }
 }
 
--- a/crates/sched/src/health.rs
+++ b/crates/sched/src/health.rs
@@ -101,22 +101,22 @@
     }
 
     /// Until when it is ejected.
-    pub fn until(&self) -> Option<Ms> {
+    pub fn ejected_until(&self) -> Option<Ms> {
         self.ejected
     }
 
     /// Share of its answers that failed lately, 0 to 1.
-    pub fn fails(&self, now: Ms) -> f64 {
+    pub fn failure_rate(&self, now: Ms) -> f64 {
         self.fails * 0.5f64.powf((now - self.fails_at).0 as f64 / FAIL_HALF)
     }
 
     /// Typical time of an answer, ms; none before the first.
-    pub fn time(&self) -> Option<f64> {
+    pub fn latency(&self) -> Option<f64> {
         self.time
     }
 
     fn fail(&mut self, now: Ms, failed: f64) {
-        let old = self.fails(now);
+        let old = self.failure_rate(now);
         self.fails = old + FAIL_WEIGHT * (failed - old);
         self.fails_at = now;
     }
--- a/crates/sched/src/lib.rs
+++ b/crates/sched/src/lib.rs
@@ -5,7 +5,7 @@
 //! | [`batch`] | many small stage calls with a high fixed cost, from many hosts | targets are full at a third of what they can do |
 //! | [`offload`] | a region that is full beside one that idles | each region's callers wait behind their own targets |
 //! | [`estimate`] | several stages under one aim | the first stage eats the last one's time |
-//! | [`place`] | engines with prompt caches; services near and far | prompts are read again, answers cross regions |
+//! | [`placement`] | engines with prompt caches; services near and far | prompts are read again, answers cross regions |
 //! | [`reading`] | long prompts among short ones | a short one waits behind three long ones beside an idle engine |
 //! | [`directory`] | more subjects than requests about each | engines read what another has just read |
 //! | [`health`] | a target that fails, is dark or slow | work goes on flowing to it |
@@ -29,7 +29,7 @@
 pub mod health;
 pub mod limit;
 pub mod offload;
-pub mod place;
+pub mod placement;
 pub mod poison;
 pub mod reading;
 pub mod retry_after;
--- a/crates/sched/src/place.rs
+++ b/crates/sched/src/placement.rs
@@ -51,17 +51,17 @@
     /// Requests there, as far as is known: those of this host, and what it said last.
     pub load: u32,
     /// Typical time of an answer, ms.
-    pub time: Option<f64>,
+    pub latency: Option<f64>,
     /// Share of answers that failed lately.
-    pub fails: f64,
+    pub failure_rate: f64,
     /// Whether it may get work now.
     pub usable: bool,
     /// Time until it has read the prompts that it was sent, ms; for engines.
     pub wait: Ms,
     /// Whether it has read the subject's shared part, as far as is known; for engines.
-    pub knows: bool,
+    pub cached: bool,
     /// Until when it is ejected, if it is.
-    pub until: Ms,
+    pub ejected_until: Ms,
     /// Whether the next send is a trial after an ejection.
     pub trial: bool,
 }
@@ -75,11 +75,11 @@
             Distance::Region => REGION_MS,
             Distance::Far => FAR_MS,
         };
-        let time = c.time.unwrap_or(UNKNOWN_MS + far);
+        let time = c.latency.unwrap_or(UNKNOWN_MS + far);
         let waiting = f64::from(c.load) / f64::from(c.slots.max(1));
         let trial = if c.trial && risky { FAIL_MS } else { 0.0 };
         // Half full costs little, beyond full each round of slots costs a whole answer's time.
-        time * (1.0 + waiting * waiting) + FAIL_MS * c.fails + trial
+        time * (1.0 + waiting * waiting) + FAIL_MS * c.failure_rate + trial
     };
     let usable = (0..candidates.len()).filter(|i| candidates[*i].usable);
     usable
@@ -111,7 +111,7 @@
     };
     let score = |i: &usize| hash_parts(&[&subject.to_le_bytes(), candidates[*i].name.as_bytes()]);
     let keeper = tier.iter().copied().max_by_key(score);
-    let cost = |i: &usize| match Some(*i) == keeper || candidates[*i].knows {
+    let cost = |i: &usize| match Some(*i) == keeper || candidates[*i].cached {
         true => candidates[*i].wait,
         false => candidates[*i].wait + copy,
     };
@@ -121,5 +121,5 @@
 }
 
 fn soonest(candidates: &[Candidate<'_>]) -> Option<usize> {
-    (0..candidates.len()).min_by_key(|i| (candidates[*i].until, *i))
+    (0..candidates.len()).min_by_key(|i| (candidates[*i].ejected_until, *i))
 }
--- a/crates/sched/tests/place.rs
+++ b/crates/sched/tests/placement.rs
@@ -1,7 +1,7 @@
 //! Which target runs a request.
 
 use base::Ms;
-use sched::place::{Candidate, Distance, engine, plain};
+use sched::placement::{Candidate, Distance, engine, plain};
 
 /// Time to copy a subject's memory from another engine.
 const COPY: Ms = Ms(50);
@@ -12,13 +12,13 @@
         distance,
         slots: 64,
         load,
-        time: None,
-        fails: 0.0,
+        latency: None,
+        failure_rate: 0.0,
         usable: true,
-        until: Ms::ZERO,
+        ejected_until: Ms::ZERO,
         trial: false,
         wait: Ms::ZERO,
-        knows: false,
+        cached: false,
     }
 }
 
@@ -27,7 +27,7 @@
     let near = candidate("near", Distance::Domain, 0);
     let far = candidate("far", Distance::Far, 0);
     assert_eq!(plain(&[far.clone(), near.clone()], false), Some(1));
-    let grey = Candidate { fails: 0.4, ..near };
+    let grey = Candidate { failure_rate: 0.4, ..near };
     assert_eq!(plain(&[far, grey], false), Some(0));
 }
 
@@ -43,7 +43,7 @@
 fn with_every_target_ejected_the_one_that_returns_first_is_tried() {
     let ejected = |name, until| Candidate {
         usable: false,
-        until: Ms(until),
+        ejected_until: Ms(until),
         ..candidate(name, Distance::Domain, 0)
     };
     assert_eq!(plain(&[ejected("a", 900), ejected("b", 400)], false), Some(1));
@@ -80,7 +80,7 @@
     let other = engine(&busy, 42, COPY).unwrap();
     assert_ne!(other, keeper);
     busy[keeper].wait = Ms(40);
-    busy[other].knows = true;
+    busy[other].cached = true;
     assert_eq!(engine(&busy, 42, COPY), Some(other), "it has read the subject and idles");
 }
 
