--- a/crates/edge/src/composer/mod.rs
+++ b/crates/edge/src/composer/mod.rs
@@ -10,7 +10,7 @@
 use base::{Ms, PoolId, RegionId, TargetId};
 use catalog::Batch;
 use logs::note;
-use sched::batch::{Batcher, CallEnd, CallId, Effect, Event, Piece, PieceEnd, PieceId, Place};
+use sched::batch::{Batcher, CallEnd, CallId, Effect, Event, Piece, PieceEnd, PieceId, TargetInfo};
 use std::collections::HashMap;
 use std::sync::atomic::{AtomicU64, Ordering};
 use std::sync::{Arc, Mutex, MutexGuard, PoisonError};
@@ -143,7 +143,7 @@
     ///
     /// Two composers for one target each believe its place and its room to be their own: calls are
     /// turned away, or find no room.
-    fn places(&self, service: &PoolId) -> Vec<Place> {
+    fn places(&self, service: &PoolId) -> Vec<TargetInfo> {
         let links = self.core.links();
         let settings = self.core.settings();
         let targets: Vec<(&Arc<Link>, Option<&RegionId>)> =
@@ -155,7 +155,7 @@
             None => !any_near,
         };
         let mine = targets.into_iter().filter(|(_, region)| near(*region) || composed(*region));
-        let place = |(link, region): (&Arc<Link>, Option<&RegionId>)| Place {
+        let place = |(link, region): (&Arc<Link>, Option<&RegionId>)| TargetInfo {
             id: link.entry.id.clone(),
             born: link.entry.born,
             domain: link.entry.domain.clone(),
--- a/crates/model/src/stages/play.rs
+++ b/crates/model/src/stages/play.rs
@@ -4,7 +4,7 @@
 use catalog::Batch;
 use rand::{RngExt, SeedableRng};
 use rand_chacha::ChaCha8Rng;
-use sched::batch::{Batcher, CallEnd, CallId, Effect, Event, PieceEnd, PieceId, Place};
+use sched::batch::{Batcher, CallEnd, CallId, Effect, Event, PieceEnd, PieceId, TargetInfo};
 use sched::budget::Allowance;
 use std::cmp::Reverse;
 use std::collections::{BinaryHeap, HashMap, HashSet};
@@ -157,7 +157,7 @@
     pub(super) fn tell_targets(&mut self, unit: usize, targets: &[usize]) {
         let places = targets
             .iter()
-            .map(|t| Place {
+            .map(|t| TargetInfo {
                 id: name(*t),
                 born: 1,
                 domain: DomainId::from("only"),
--- a/crates/sched/src/batch/mod.rs
+++ b/crates/sched/src/batch/mod.rs
@@ -30,7 +30,7 @@
 
 pub use order::LAST_SHARE;
 pub use target::{OVERDUE, OVERDUE_SLACK};
-pub use types::{CallEnd, CallId, Effect, Event, Piece, PieceEnd, PieceId, Place, Source};
+pub use types::{CallEnd, CallId, Effect, Event, Piece, PieceEnd, PieceId, Source, TargetInfo};
 
 use base::{DomainId, Ms, PoolId, TargetId};
 use catalog::Batch;
@@ -95,7 +95,7 @@
             Event::Submit(pieces) => self.submit(now, pieces, out),
             Event::Withdraw(ids) => ids.iter().for_each(|id| drop(self.pieces.remove(id))),
             Event::Ended(call, end) => self.ended(now, call, end, out),
-            Event::Targets(places) => self.places(&places, out),
+            Event::Targets(infos) => self.update_targets(&infos, out),
             Event::Shape(shape) => self.shape = shape,
             Event::Freed(target, handle) => {
                 if let Some(target) = self.targets.get_mut(&target) {
@@ -216,16 +216,16 @@
         }
     }
 
-    fn places(&mut self, places: &[Place], out: &mut Vec<Effect>) {
+    fn update_targets(&mut self, infos: &[TargetInfo], out: &mut Vec<Effect>) {
         for (id, target) in &mut self.targets {
-            target.live = places.iter().any(|p| p.id == *id && p.born == target.born);
+            target.live = infos.iter().any(|p| p.id == *id && p.born == target.born);
         }
         // A target that is leaving stays until its calls have ended.
         self.targets.retain(|_, t| t.live || t.busy());
-        for place in places {
-            match self.targets.get(&place.id) {
-                Some(known) if known.born == place.born => {}
-                _ => drop(self.targets.insert(place.id.clone(), Target::new(place))),
+        for info in infos {
+            match self.targets.get(&info.id) {
+                Some(known) if known.born == info.born => {}
+                _ => drop(self.targets.insert(info.id.clone(), Target::new(info))),
             }
         }
         // The last target that they were allowed at is gone: they aren't kept waiting.
--- a/crates/sched/src/batch/target.rs
+++ b/crates/sched/src/batch/target.rs
@@ -5,7 +5,7 @@
 use catalog::Residency;
 
 use super::room::Room;
-use super::{CallEnd, CallId, Piece, PieceEnd, Place};
+use super::{CallEnd, CallId, Piece, PieceEnd, TargetInfo};
 
 /// A call is overdue at this multiple of its expected time, plus [`OVERDUE_SLACK`]: pieces of one
 /// service differ by up to three times, and a slow target takes four to eight times as long.
@@ -67,12 +67,12 @@
 }
 
 impl Target {
-    pub(super) fn new(place: &Place) -> Self {
+    pub(super) fn new(info: &TargetInfo) -> Self {
         Self {
-            born: place.born,
-            domain: place.domain.clone(),
-            region: place.region.clone(),
-            reserved: place.reserved,
+            born: info.born,
+            domain: info.domain.clone(),
+            region: info.region.clone(),
+            reserved: info.reserved,
             live: true,
             open: Vec::new(),
             speed: 1.0,
--- a/crates/sched/src/batch/types.rs
+++ b/crates/sched/src/batch/types.rs
@@ -86,7 +86,7 @@
 
 /// A target of the service, as the registry has it.
 #[derive(Clone, Debug, PartialEq, Eq)]
-pub struct Place {
+pub struct TargetInfo {
     /// Its name.
     pub id: TargetId,
     /// When it started: another life under the same name has nothing of the earlier one.
@@ -110,7 +110,7 @@
     /// A call ended.
     Ended(CallId, CallEnd),
     /// The targets that take new work.
-    Targets(Vec<Place>),
+    Targets(Vec<TargetInfo>),
     /// The service is declared so from now on.
     Shape(Batch),
     /// A result was read. It may be read once more, and lies on while there is room.
--- a/crates/sched/tests/common/mod.rs
+++ b/crates/sched/tests/common/mod.rs
@@ -5,7 +5,7 @@
 use base::{DomainId, Ms, PoolId, TargetId};
 use catalog::{Batch, Residency};
 use sched::batch::{
-    Batcher, CallEnd, CallId, Effect, Event, Piece, PieceEnd, PieceId, Place, Source,
+    Batcher, CallEnd, CallId, Effect, Event, Piece, PieceEnd, PieceId, Source, TargetInfo,
 };
 use sched::budget::Allowance;
 use std::sync::Arc;
@@ -49,13 +49,13 @@
 
     /// Targets of one failure domain, or as `name:domain`; reserved ones begin with `!`.
     pub fn targets(&mut self, names: &[&str]) {
-        let place = |name: &&str| {
+        let info = |name: &&str| {
             let (name, reserved) = match name.strip_prefix('!') {
                 Some(name) => (name, true),
                 None => (*name, false),
             };
             let (id, domain) = name.split_once(':').unwrap_or((name, "one"));
-            Place {
+            TargetInfo {
                 id: TargetId::from(id),
                 born: 1,
                 domain: DomainId::from(domain),
@@ -63,7 +63,7 @@
                 reserved,
             }
         };
-        self.feed(Event::Targets(names.iter().map(place).collect()));
+        self.feed(Event::Targets(names.iter().map(info).collect()));
     }
 
     pub fn feed(&mut self, event: Event) {
--- a/crates/sched/tests/load.rs
+++ b/crates/sched/tests/load.rs
@@ -9,7 +9,7 @@
 use rand::{RngExt, SeedableRng};
 use rand_chacha::ChaCha8Rng;
 use sched::batch::{
-    Batcher, CallEnd, CallId, Effect, Event, Piece, PieceEnd, PieceId, Place, Source,
+    Batcher, CallEnd, CallId, Effect, Event, Piece, PieceEnd, PieceId, Source, TargetInfo,
 };
 use sched::budget::Allowance;
 use std::cmp::Reverse;
@@ -81,8 +81,8 @@
             asked: 0,
             in_time: 0,
         };
-        let places: Vec<Place> = (0..TARGETS)
-            .map(|t| Place {
+        let infos: Vec<TargetInfo> = (0..TARGETS)
+            .map(|t| TargetInfo {
                 id: target(t),
                 born: 1,
                 domain: DomainId::from("d"),
@@ -90,7 +90,7 @@
                 reserved: false,
             })
             .collect();
-        (0..hosts).for_each(|h| world.feed(h, Event::Targets(places.clone())));
+        (0..hosts).for_each(|h| world.feed(h, Event::Targets(infos.clone())));
         world
     }
 
