--- a/crates/edge/src/core/known.rs
+++ b/crates/edge/src/core/known.rs
@@ -4,7 +4,7 @@
 use catalog::{ChangeLog, Entry, Freshness, Missing, Proof, Registry, RegistryEvent, Seen, Update};
 use logs::note;
 use sched::evacuation::{EvacuationEvent, Evacuations};
-use sched::warmup::UNHEARD;
+use sched::warmup::LOST_HEARTBEATS;
 use std::sync::Arc;
 use tokio::sync::watch;
 
@@ -240,7 +240,7 @@
     fn renew_links(&self, known: &Known) {
         let targets = known.registry.targets();
         let evacuated = self.gate.evacuations().domains().clone();
-        let unheard = self.settings().bounds.heartbeat_ms.scale(UNHEARD, 1);
+        let unheard = self.settings().bounds.heartbeat_ms.scale(LOST_HEARTBEATS, 1);
         let works = |entry: &Entry| known.registry.takes_work(entry);
         let next = self.links.load().renew(self.clock.now(), targets, works, evacuated, unheard);
         self.links.store(Arc::new(next));
--- a/crates/edge/src/gate.rs
+++ b/crates/edge/src/gate.rs
@@ -94,13 +94,13 @@
         rest => return Err(Barrier::Paused(rest)),
     }
     check_limit(core, now, link)?;
-    let rest = link.warmth().rest(now);
+    let rest = link.warmth().remaining(now);
     if rest == Ms::ZERO {
         return Ok(());
     }
     let Some(warmup) = declared(core, link) else { return Ok(()) };
     let share = share(core, now, link, warmup);
-    match link.warmth().open(now, share) {
+    match link.warmth().admits(now, share) {
         true => Ok(()),
         false => Err(Barrier::Cold(rest)),
     }
--- a/crates/edge/src/links.rs
+++ b/crates/edge/src/links.rs
@@ -6,7 +6,7 @@
 use sched::health::{Health, Outcome};
 use sched::limit::Limit;
 use sched::reading::{Backlog, Subjects};
-use sched::warmup::Warmth;
+use sched::warmup::WarmupState;
 use std::collections::{BTreeSet, HashMap};
 use std::sync::atomic::{AtomicBool, AtomicU32, AtomicU64, Ordering};
 use std::sync::{Arc, Mutex, MutexGuard, PoisonError};
@@ -39,7 +39,7 @@
     paused: AtomicU64,
     backlog: Mutex<Backlog>,
     subjects: Mutex<Subjects>,
-    warmth: Mutex<Warmth>,
+    warmth: Mutex<WarmupState>,
     /// Time in which it would have registered again, had it been lost, ms.
     unheard: Ms,
 }
@@ -55,7 +55,7 @@
 
 impl Link {
     fn new(now: Ms, entry: Entry, unheard: Ms) -> Self {
-        let mut warmth = Warmth::default();
+        let mut warmth = WarmupState::default();
         warmth.cold_until(now + entry.warmup);
         let config = PoolConfig { connect_ms: CONNECT, idle: IDLE_KEPT, idle_ms: IDLE };
         Self {
@@ -107,7 +107,7 @@
     }
 
     /// Whether it is cold, and what it got lately.
-    pub(crate) fn warmth(&self) -> MutexGuard<'_, Warmth> {
+    pub(crate) fn warmth(&self) -> MutexGuard<'_, WarmupState> {
         self.warmth.lock().unwrap_or_else(PoisonError::into_inner)
     }
 
--- a/crates/model/src/cold.rs
+++ b/crates/model/src/cold.rs
@@ -7,7 +7,7 @@
 use base::{HostId, Ms, hash_parts, rendezvous};
 use rand::{RngExt, SeedableRng};
 use rand_chacha::ChaCha8Rng;
-use sched::warmup::{Warmth, share};
+use sched::warmup::{WarmupState, share};
 use std::collections::{BTreeMap, HashMap};
 
 /// How long targets stay cold.
@@ -82,7 +82,7 @@
     domain: usize,
     group: usize,
     skew: u64,
-    warmth: HashMap<usize, Warmth>,
+    warmth: HashMap<usize, WarmupState>,
 }
 
 struct World {
@@ -90,7 +90,7 @@
     design: Design,
     hosts: Vec<Host>,
     /// Times of permits by target and the host that gives them.
-    given: BTreeMap<(usize, usize), Warmth>,
+    given: BTreeMap<(usize, usize), WarmupState>,
     arrived: Vec<Vec<Ms>>,
     calls: usize,
     waited: u64,
@@ -167,7 +167,7 @@
         // Less than one a second means one in some seconds.
         let span = Ms((1_000.0 / part.max(f64::MIN_POSITIVE)) as u64).max(SECOND);
         let warmth = self.hosts[who].warmth.entry(target).or_default();
-        let free = warmth.rest(now) == Ms::ZERO;
+        let free = warmth.remaining(now) == Ms::ZERO;
         free.then(|| warmth.cold_until(now + span));
         free.then_some(now)
     }
@@ -180,7 +180,7 @@
         let holder = known[(clock / length.0) as usize % known.len().max(1)];
         let turn = clock / length.0;
         let warmth = self.hosts[who].warmth.entry(target).or_default();
-        let free = warmth.rest(now) == Ms::ZERO;
+        let free = warmth.remaining(now) == Ms::ZERO;
         let mine = holder == who && free;
         if mine {
             // None until the turn is over.
@@ -205,7 +205,7 @@
         let given = self.given.entry((target, giver)).or_default();
         given.cold_until(now + COLD);
         // Two givers at once stay within the limit together.
-        let open = given.open(now, (self.play.limit / 2.0) as u32);
+        let open = given.admits(now, (self.play.limit / 2.0) as u32);
         open.then(|| given.sent(now));
         open.then(|| now + Ms(way))
     }
@@ -220,7 +220,7 @@
         let share = share(self.play.limit, &name, &self.hosts[who].id, ids);
         let warmth = self.hosts[who].warmth.entry(target).or_default();
         warmth.cold_until(Ms::MAX);
-        let open = warmth.open(now, share);
+        let open = warmth.admits(now, share);
         open.then(|| warmth.sent(now));
         open.then_some(now)
     }
--- a/crates/sched/src/warmup.rs
+++ b/crates/sched/src/warmup.rs
@@ -14,7 +14,7 @@
 //! |---|---|
 //! | it registers that it stays cold for some time | cold for that time, counted from when it was heard |
 //! | its evacuation is taken back | cold for a whole warm-up |
-//! | a connection to it breaks, is refused or goes silent | cold for [`UNHEARD`] heartbeats: a target that was lost and is back has registered in that time |
+//! | a connection to it breaks, is refused or goes silent | cold for [`LOST_HEARTBEATS`] heartbeats: a target that was lost and is back has registered in that time |
 //! | otherwise | warm |
 
 use base::{HostId, Ms};
@@ -28,7 +28,7 @@
 const AGREED: f64 = 0.5;
 /// Heartbeats of a target in which it either registers again or is taken for gone: three that are
 /// missed, and two for the store and the hosts between.
-pub const UNHEARD: u64 = 5;
+pub const LOST_HEARTBEATS: u64 = 5;
 
 /// How many requests a cold target may get in a second.
 #[derive(Clone, Copy, Debug, PartialEq)]
@@ -65,25 +65,25 @@
 
 /// One target's warmth, as one host sees it.
 #[derive(Clone, Debug, Default)]
-pub struct Warmth {
+pub struct WarmupState {
     until: Ms,
     sent: VecDeque<Ms>,
 }
 
-impl Warmth {
+impl WarmupState {
     /// It is cold, or must be taken to be, until `until`.
     pub fn cold_until(&mut self, until: Ms) {
         self.until = self.until.max(until);
     }
 
     /// Time for which it stays cold; zero for a warm one.
-    pub fn rest(&self, now: Ms) -> Ms {
+    pub fn remaining(&self, now: Ms) -> Ms {
         self.until - now
     }
 
     /// Whether a request may be sent now, with a share of so many a second.
-    pub fn open(&self, now: Ms, share: u32) -> bool {
-        self.rest(now) == Ms::ZERO || self.recent(now) < share as usize
+    pub fn admits(&self, now: Ms, share: u32) -> bool {
+        self.remaining(now) == Ms::ZERO || self.recent(now) < share as usize
     }
 
     /// A request is sent now. Counted for warm targets too: one may turn cold at any moment, and
--- a/crates/sched/tests/warmup.rs
+++ b/crates/sched/tests/warmup.rs
@@ -4,7 +4,7 @@
 use rand::{RngExt, SeedableRng};
 use rand_chacha::ChaCha8Rng;
 use sched::roster::Roster;
-use sched::warmup::{ColdLimit, Warmth, share};
+use sched::warmup::{ColdLimit, WarmupState, share};
 
 const TARGET: &str = "engine-7";
 /// The rate of the larger deployments: 9.3 a second, half as much again, and five.
@@ -25,11 +25,11 @@
     for group in groups {
         for host in group {
             let share = share(limit, TARGET, host, group);
-            let mut warmth = Warmth::default();
+            let mut warmth = WarmupState::default();
             warmth.cold_until(Ms(time));
             let mut now = rng.random_range(0..every.max(1));
             while now < time {
-                if warmth.open(Ms(now), share) {
+                if warmth.admits(Ms(now), share) {
                     warmth.sent(Ms(now));
                     sent.push(now);
                 }
@@ -113,10 +113,10 @@
 /// Guards against what was sent just before a target turned cold.
 #[test]
 fn requests_from_before_it_turned_cold_count() {
-    let mut warmth = Warmth::default();
+    let mut warmth = WarmupState::default();
     (0..4).for_each(|i| warmth.sent(Ms(1_000 + i)));
-    assert!(warmth.open(Ms(1_010), 4), "warm targets take any number");
+    assert!(warmth.admits(Ms(1_010), 4), "warm targets take any number");
     warmth.cold_until(Ms(5_000));
-    assert!(!warmth.open(Ms(1_010), 4));
-    assert!(warmth.open(Ms(2_200), 4));
+    assert!(!warmth.admits(Ms(1_010), 4));
+    assert!(warmth.admits(Ms(2_200), 4));
 }
