--- a/crates/edge/src/composer/frees.rs
+++ b/crates/edge/src/composer/frees.rs
@@ -68,7 +68,7 @@
     ) {
         let link = self.core.links().named(&target).cloned();
         // What a target in need takes is for work; there the results lapse.
-        if let Some(link) = link.filter(|l| !l.limit().is_named()) {
+        if let Some(link) = link.filter(|l| !l.limit().is_active()) {
             let build = || self.core.dialect.stage_free(link.name(), &handles);
             // Not heard, the results go when their time to live is over.
             if let Ok(answered) = send(&self.core, &link, OWN_CALL, FREE_SILENCE, build).await {
--- a/crates/edge/src/gate.rs
+++ b/crates/edge/src/gate.rs
@@ -120,7 +120,7 @@
     if let Some(per_second) = limit.unpaced(now) {
         limit.pace(now, interval(core, link, per_second));
     }
-    match limit.rest(now) {
+    match limit.delay(now) {
         Ms::ZERO => Ok(()),
         rest => Err(Barrier::Limited(rest)),
     }
--- a/crates/edge/src/notices.rs
+++ b/crates/edge/src/notices.rs
@@ -49,7 +49,7 @@
 
 fn hear_limit(core: &Core, link: &Link, limit: Option<f64>) -> Option<LimitEvent> {
     let service = link.entry.service.as_str();
-    let event = link.limit().named(core.clock.now(), limit)?;
+    let event = link.limit().observe(core.clock.now(), limit)?;
     match event {
         LimitEvent::Begun => {
             core.metrics.notice(service, "limited");
--- a/crates/sched/src/limit.rs
+++ b/crates/sched/src/limit.rs
@@ -100,7 +100,7 @@
 
 impl Limit {
     /// An answer of the target names this limit, or none.
-    pub fn named(&mut self, now: Ms, limit: Option<f64>) -> Option<LimitEvent> {
+    pub fn observe(&mut self, now: Ms, limit: Option<f64>) -> Option<LimitEvent> {
         match (&mut self.named, limit) {
             (Some(named), Some(per_second)) => {
                 (named.per_second, named.at) = (per_second, now);
@@ -120,7 +120,7 @@
     }
 
     /// Whether the target names one.
-    pub fn is_named(&self) -> bool {
+    pub fn is_active(&self) -> bool {
         self.named.is_some()
     }
 
@@ -139,7 +139,7 @@
     }
 
     /// Time until this host may send it a request.
-    pub fn rest(&self, now: Ms) -> Ms {
+    pub fn delay(&self, now: Ms) -> Ms {
         self.named.map_or(Ms::ZERO, |n| n.last + n.interval - now)
     }
 
--- a/crates/sched/tests/limit.rs
+++ b/crates/sched/tests/limit.rs
@@ -45,9 +45,9 @@
             let mut told = false;
             while sender.next < time {
                 let now = Ms(sender.next);
-                if sender.limit.rest(now) == Ms::ZERO {
+                if sender.limit.delay(now) == Ms::ZERO {
                     sender.limit.sent(now);
-                    sender.limit.named(now, Some(self.per_second));
+                    sender.limit.observe(now, Some(self.per_second));
                     sender.limit.pace(now, sender.interval);
                     if told {
                         sent.push(now.0);
@@ -116,9 +116,9 @@
 #[test]
 fn an_answer_that_was_overtaken_does_not_end_a_limit() {
     let mut limit = Limit::default();
-    assert_eq!(limit.named(Ms(1_000), Some(1.0)), Some(LimitEvent::Begun));
-    assert_eq!(limit.named(Ms(1_400), None), None);
-    assert!(limit.is_named());
-    assert_eq!(limit.named(Ms(2_100), None), Some(LimitEvent::Ended));
-    assert_eq!(limit.rest(Ms(2_100)), Ms::ZERO);
+    assert_eq!(limit.observe(Ms(1_000), Some(1.0)), Some(LimitEvent::Begun));
+    assert_eq!(limit.observe(Ms(1_400), None), None);
+    assert!(limit.is_active());
+    assert_eq!(limit.observe(Ms(2_100), None), Some(LimitEvent::Ended));
+    assert_eq!(limit.delay(Ms(2_100)), Ms::ZERO);
 }
