--- a/crates/edge/src/composer/mod.rs
+++ b/crates/edge/src/composer/mod.rs
@@ -184,7 +184,7 @@
                 }
                 _ = moved.changed() => {
                     if let Some(shape) = self.shape(&service.name) {
-                        self.feed(&service, Event::Shape(shape));
+                        self.feed(&service, Event::Config(shape));
                     }
                     self.feed(&service, Event::Targets(self.places(&service.name)));
                     let hosts = self.core.members.hosts().len();
@@ -276,7 +276,7 @@
         let answered = match send(&self.core, &link, OWN_CALL, timeout, build).await {
             Ok(answered) => answered,
             Err(SendFault::Barred(Barrier::Limited(rest) | Barrier::Paused(rest))) => {
-                return CallEnd::Barred(rest);
+                return CallEnd::Deferred(rest);
             }
             // An evacuated target is taken off the list, a cold one stands a call in a moment.
             Err(SendFault::Barred(_)) => return CallEnd::Full,
--- a/crates/sched/src/batch/ends.rs
+++ b/crates/sched/src/batch/ends.rs
@@ -8,12 +8,12 @@
     pub(super) fn ended(&mut self, now: Ms, call: CallId, end: CallEnd, out: &mut Vec<Effect>) {
         let Some((id, pieces)) = self.calls.remove(&call) else { return };
         if let Some(target) = self.targets.get_mut(&id) {
-            target.learn_room(now, &end, self.shape.room);
+            target.learn_room(now, &end, self.config.room);
             target.ended(now, call, &end);
         }
         self.take_end(now, &id, pieces, end, out);
         if let Some(target) = self.targets.get_mut(&id) {
-            target.settle(now, self.shape.room);
+            target.settle(now, self.config.room);
         }
     }
 
@@ -41,7 +41,7 @@
                     }
                 }
             }
-            CallEnd::Full | CallEnd::Barred(_) | CallEnd::Moved | CallEnd::NoConnection => {
+            CallEnd::Full | CallEnd::Deferred(_) | CallEnd::Moved | CallEnd::NoConnection => {
                 pieces.into_iter().for_each(|p| self.again(now, p, false, out));
             }
             CallEnd::Broken | CallEnd::Silent => {
@@ -64,7 +64,7 @@
             return;
         };
         if let Some(target) = self.targets.get_mut(target) {
-            target.room.keep(now, handle.clone(), waiting.piece.bytes, now + self.shape.keep);
+            target.room.keep(now, handle.clone(), waiting.piece.bytes, now + self.config.keep);
         }
         let target = Some(target.clone());
         out.push(Effect::End { piece, end: PieceEnd::Made(handle), target });
--- a/crates/sched/src/batch/fill.rs
+++ b/crates/sched/src/batch/fill.rs
@@ -39,7 +39,7 @@
     }
 
     pub(super) fn takes(&self, now: Ms, target: &Target) -> bool {
-        target.usable(now) && target.accepts(now, self.shape.slots)
+        target.usable(now) && target.accepts(now, self.config.slots)
     }
 
     pub(super) fn free_target(&self, now: Ms, passed: &HashSet<TargetId>) -> Option<TargetId> {
@@ -47,7 +47,7 @@
         let best = best.fold(f64::INFINITY, f64::min);
         let soonest = self.targets.values().filter(|t| t.usable(now) && !t.slow(best));
         let soonest = soonest.map(|t| t.free_at(now)).min();
-        let normal = self.shape.full();
+        let normal = self.config.full();
         let worth = |t: &Target| match soonest {
             // A slow target is left alone while a normal one would end the same call sooner.
             Some(free) if t.slow(best) => {
@@ -84,11 +84,11 @@
             .filter(|(_, w)| w.queued && allowed(w) && !for_other(w))
             .map(|(id, w)| order::Queued { id: *id, piece: &w.piece, since: w.since, far: far(w) })
             .collect();
-        let count = queued.len().min(self.shape.size);
-        let call = target.scaled(self.shape.time(count));
+        let count = queued.len().min(self.config.size);
+        let call = target.scaled(self.config.time(count));
         let end = target.free_at(now) + call;
-        let room = self.shape.room.saturating_sub(target.kept(now));
-        order::choose(queued, now, end, call, &self.shape, room)
+        let room = self.config.room.saturating_sub(target.kept(now));
+        order::choose(queued, now, end, call, &self.config, room)
     }
 
     pub(super) fn call(&mut self, now: Ms, id: TargetId, ids: Vec<PieceId>, out: &mut Vec<Effect>) {
@@ -102,7 +102,7 @@
         }
         self.next += 1;
         let call = CallId(self.next);
-        let time = self.shape.time(ids.len());
+        let time = self.config.time(ids.len());
         let mut pieces = Vec::with_capacity(ids.len());
         for piece in &ids {
             let Some(waiting) = self.pieces.get_mut(piece) else { continue };
--- a/crates/sched/src/batch/mod.rs
+++ b/crates/sched/src/batch/mod.rs
@@ -59,7 +59,7 @@
 /// Composes the calls of one service.
 pub struct Batcher {
     service: PoolId,
-    shape: Batch,
+    config: Batch,
     budget: Budget,
     targets: BTreeMap<TargetId, Target>,
     pieces: HashMap<PieceId, Waiting>,
@@ -74,11 +74,11 @@
 
 impl Batcher {
     /// No targets yet.
-    pub fn new(service: PoolId, shape: Batch, allowance: Allowance) -> Self {
+    pub fn new(service: PoolId, config: Batch, allowance: Allowance) -> Self {
         Self {
-            fill: shape.size as f64,
+            fill: config.size as f64,
             service,
-            shape,
+            config,
             budget: Budget::new(allowance),
             targets: BTreeMap::new(),
             pieces: HashMap::new(),
@@ -96,7 +96,7 @@
             Event::Withdraw(ids) => ids.iter().for_each(|id| drop(self.pieces.remove(id))),
             Event::Ended(call, end) => self.ended(now, call, end, out),
             Event::Targets(infos) => self.update_targets(&infos, out),
-            Event::Shape(shape) => self.shape = shape,
+            Event::Config(config) => self.config = config,
             Event::Freed(target, handle) => {
                 if let Some(target) = self.targets.get_mut(&target) {
                     target.room.freed(&handle);
@@ -133,7 +133,7 @@
         // Targets that only some pieces may use say nothing of how long others wait.
         let common = self.targets.values().filter(|t| t.usable(now) && !t.reserved);
         let mut free: Vec<Ms> = common.map(|t| t.free_at(now)).collect();
-        let full = self.shape.time(self.fill as usize);
+        let full = self.config.time(self.fill as usize);
         for _ in 0..(ahead as f64 / self.fill.max(1.0)) as usize {
             let first = free.iter_mut().min()?;
             *first += full;
@@ -153,7 +153,7 @@
 
     /// Whether a piece will be late even in a call that begins now.
     fn is_late(&self, now: Ms, piece: &Piece) -> bool {
-        piece.due < now + self.shape.time(1)
+        piece.due < now + self.config.time(1)
     }
 
     /// Ends late pieces that won't get into a call while they are of use.
@@ -171,17 +171,17 @@
             late.pieces += 1;
             late.key.push(*id);
         }
-        let hopeless = self.late.hopeless(now, self.shape.full(), waiting.into_values());
+        let hopeless = self.late.hopeless(now, self.config.full(), waiting.into_values());
         hopeless.into_iter().flatten().for_each(|id| self.finish(id, PieceEnd::Late, out));
     }
 
     /// Gives up results that were read where the next call would not find room beside them.
     fn reclaim(&mut self, now: Ms, out: &mut Vec<Effect>) {
-        let waiting = self.pieces.values().filter(|w| w.queued).take(self.shape.size);
+        let waiting = self.pieces.values().filter(|w| w.queued).take(self.config.size);
         let waiting: u64 = waiting.map(|w| w.piece.bytes).sum();
         let next = waiting.max(self.bytes.unwrap_or_default() as u64);
         for (id, target) in &mut self.targets {
-            let freed = target.reclaim(now, self.shape.room, next);
+            let freed = target.reclaim(now, self.config.room, next);
             let free = |handle| Effect::Free { target: id.clone(), handle };
             out.extend(freed.into_iter().map(free));
         }
@@ -243,7 +243,7 @@
         }
         let near = self.targets.values().filter(|t| t.domain == *home && t.usable(now));
         let near = near.filter(|t| t.allows(piece));
-        let end = near.map(|t| t.free_at(now) + t.scaled(self.shape.full())).min();
+        let end = near.map(|t| t.free_at(now) + t.scaled(self.config.full())).min();
         end.is_some_and(|end| end <= piece.due)
     }
 
--- a/crates/sched/src/batch/order.rs
+++ b/crates/sched/src/batch/order.rs
@@ -29,10 +29,10 @@
     now: Ms,
     end: Ms,
     call: Ms,
-    shape: &Batch,
+    config: &Batch,
     room: u64,
 ) -> Vec<PieceId> {
-    let size = shape.size;
+    let size = config.size;
     let band = |q: &Queued<'_>| match q.piece {
         piece if piece.due >= end => Band::OnTime,
         // The next call would end too late for the caller's own deadline.
@@ -53,7 +53,7 @@
         (band, rank, time, q.piece.request.clone(), q.piece.index)
     };
     queued.sort_by_cached_key(key);
-    let mut call = Call { size, room, all_room: shape.room, out: Vec::new(), used: 0 };
+    let mut call = Call { size, room, all_room: config.room, out: Vec::new(), used: 0 };
     let most_last = (size * LAST_SHARE / 100).max(1);
     let mut held = Vec::new();
     // Pieces of one request stand together after sorting.
--- a/crates/sched/src/batch/target.rs
+++ b/crates/sched/src/batch/target.rs
@@ -155,7 +155,7 @@
                 self.speed += SPEED_WEIGHT * (took - self.speed);
             }
             CallEnd::Full => self.pause = now + FULL_PAUSE,
-            CallEnd::Barred(rest) => self.pause = now + (*rest).min(PAUSE_MOST),
+            CallEnd::Deferred(rest) => self.pause = now + (*rest).min(PAUSE_MOST),
             CallEnd::Moved | CallEnd::NoConnection | CallEnd::Broken | CallEnd::Silent => {
                 let span = PAUSE.scale(1 << self.failures.min(8), 1).min(PAUSE_MOST);
                 self.failures += 1;
--- a/crates/sched/src/batch/types.rs
+++ b/crates/sched/src/batch/types.rs
@@ -73,7 +73,7 @@
     /// The target had no place and did nothing.
     Full,
     /// It was not sent: the target takes no call from this host for so long.
-    Barred(Ms),
+    Deferred(Ms),
     /// The target's address belongs to another now.
     Moved,
     /// No connection.
@@ -112,7 +112,7 @@
     /// The targets that take new work.
     Targets(Vec<TargetInfo>),
     /// The service is declared so from now on.
-    Shape(Batch),
+    Config(Batch),
     /// A result was read. It may be read once more, and lies on while there is room.
     Read(TargetId, String),
     /// A result was given up; its room is free.
--- a/crates/sched/tests/batch.rs
+++ b/crates/sched/tests/batch.rs
@@ -4,12 +4,12 @@
 
 use base::{Ms, TargetId};
 use catalog::Batch;
-use common::{Bench, KB, shape};
+use common::{Bench, KB, config};
 use sched::batch::{CallEnd, Event, PieceEnd, PieceId};
 
 #[test]
 fn a_free_target_gets_a_call_at_once() {
-    let mut bench = Bench::new(shape(), &["a"]);
+    let mut bench = Bench::new(config(), &["a"]);
     bench.submit("r1", 2, |_| ());
     assert_eq!(bench.calls.len(), 1);
     assert_eq!(bench.calls[0].2.len(), 2);
@@ -20,7 +20,7 @@
 // What comes while a target works goes into its next call together.
 #[test]
 fn pieces_that_wait_for_a_busy_target_share_its_next_call() {
-    let mut bench = Bench::new(shape(), &["a"]);
+    let mut bench = Bench::new(config(), &["a"]);
     bench.submit("r1", 1, |_| ());
     for request in ["r2", "r3", "r4"] {
         bench.submit(request, 2, |_| ());
@@ -32,7 +32,7 @@
 
 #[test]
 fn pieces_of_one_request_are_made_together() {
-    let mut bench = Bench::new(shape(), &["a"]);
+    let mut bench = Bench::new(config(), &["a"]);
     bench.submit("r1", 1, |_| ());
     bench.submit("r2", 6, |_| ());
     bench.submit("r3", 4, |p| p.due += Ms(10));
@@ -44,7 +44,7 @@
 
 #[test]
 fn a_request_with_more_pieces_than_a_call_is_made_in_several() {
-    let mut bench = Bench::new(shape(), &["a"]);
+    let mut bench = Bench::new(config(), &["a"]);
     bench.submit("r1", 11, |_| ());
     assert_eq!(bench.calls[0].2.len(), 8);
     bench.finish(0, Ms(320));
@@ -58,7 +58,7 @@
 // Ranks go first among what can still be in time.
 #[test]
 fn the_more_urgent_kind_goes_first_under_a_burst_of_the_other() {
-    let mut bench = Bench::new(shape(), &["a"]);
+    let mut bench = Bench::new(config(), &["a"]);
     bench.submit("first", 1, |_| ());
     for i in 0..6 {
         bench.submit(&format!("chat-{i}"), 2, |p| p.due = p.due - Ms(500));
@@ -73,7 +73,7 @@
 // What is late anyway takes only the places that are left.
 #[test]
 fn what_can_be_in_time_goes_before_what_is_late_anyway() {
-    let mut bench = Bench::new(shape(), &["a"]);
+    let mut bench = Bench::new(config(), &["a"]);
     bench.submit("first", 1, |_| ());
     bench.submit("late", 6, |p| p.due = Ms(1));
     bench.submit("fresh", 6, |_| ());
@@ -88,7 +88,7 @@
 // They get a part of each call and no more.
 #[test]
 fn last_chances_take_a_part_of_a_call_only() {
-    let mut bench = Bench::new(shape(), &["a"]);
+    let mut bench = Bench::new(config(), &["a"]);
     bench.submit("first", 1, |_| ());
     for i in 0..4 {
         bench.submit(&format!("last-{i}"), 2, |p| {
@@ -103,7 +103,7 @@
 
 #[test]
 fn what_is_known_to_be_hopeless_is_refused_when_it_is_handed_in() {
-    let mut bench = Bench::new(shape(), &["a"]);
+    let mut bench = Bench::new(config(), &["a"]);
     bench.submit("first", 1, |_| ());
     for i in 0..8 {
         bench.submit(&format!("r{i}"), 8, |_| ());
@@ -117,7 +117,7 @@
 // Results count from the beginning of their call until they are given up.
 #[test]
 fn a_call_takes_no_more_than_the_room_that_is_left() {
-    let mut bench = Bench::new(shape(), &["a"]);
+    let mut bench = Bench::new(config(), &["a"]);
     bench.submit("r1", 3, |p| p.bytes = 25 * KB);
     bench.submit("r2", 3, |p| p.bytes = 25 * KB);
     bench.finish(0, Ms(270));
@@ -130,7 +130,7 @@
 
 #[test]
 fn a_target_that_had_no_room_is_not_asked_again_at_once() {
-    let mut bench = Bench::new(shape(), &["a"]);
+    let mut bench = Bench::new(config(), &["a"]);
     bench.submit("r1", 2, |_| ());
     let (call, _, _) = bench.calls[0].clone();
     bench.now += Ms(5);
@@ -148,7 +148,7 @@
 // Pieces may be made again; they go to another target at once.
 #[test]
 fn pieces_of_a_broken_call_are_made_elsewhere() {
-    let mut bench = Bench::new(shape(), &["a", "b"]);
+    let mut bench = Bench::new(config(), &["a", "b"]);
     bench.submit("r1", 2, |_| ());
     let (call, first, _) = bench.calls[0].clone();
     bench.feed(Event::Ended(call, CallEnd::Broken));
@@ -158,7 +158,7 @@
 
 #[test]
 fn a_request_that_breaks_every_call_is_given_up() {
-    let mut bench = Bench::new(shape(), &["a", "b", "c", "d"]);
+    let mut bench = Bench::new(config(), &["a", "b", "c", "d"]);
     bench.submit("r1", 1, |_| ());
     for i in 0..3 {
         let (call, _, _) = bench.calls[i].clone();
@@ -173,7 +173,7 @@
 // A call that is overdue has its pieces made elsewhere too, once; the second result is given up.
 #[test]
 fn pieces_of_an_overdue_call_are_made_elsewhere_too() {
-    let mut bench = Bench::new(shape(), &["a", "b"]);
+    let mut bench = Bench::new(config(), &["a", "b"]);
     bench.submit("r1", 1, |_| ());
     bench.now += Ms(1_000);
     bench.feed(Event::Tick);
@@ -187,7 +187,7 @@
 
 #[test]
 fn a_slow_target_gets_nothing_that_a_normal_one_ends_sooner() {
-    let mut bench = Bench::new(shape(), &["a", "b"]);
+    let mut bench = Bench::new(config(), &["a", "b"]);
     bench.submit("r1", 1, |_| ());
     let slow = bench.calls[0].1.clone();
     bench.finish(0, Ms(1_500));
@@ -204,7 +204,7 @@
 
 #[test]
 fn pieces_that_nobody_waits_for_are_not_made() {
-    let mut bench = Bench::new(shape(), &["a"]);
+    let mut bench = Bench::new(config(), &["a"]);
     bench.submit("first", 1, |_| ());
     let ids = bench.submit("gone", 2, |_| ());
     bench.feed(Event::Withdraw(ids));
@@ -215,7 +215,7 @@
 
 #[test]
 fn a_result_that_nobody_waits_for_is_given_up() {
-    let mut bench = Bench::new(shape(), &["a"]);
+    let mut bench = Bench::new(config(), &["a"]);
     let ids = bench.submit("gone", 1, |_| ());
     bench.feed(Event::Withdraw(ids));
     bench.finish(0, Ms(250));
@@ -225,7 +225,7 @@
 
 #[test]
 fn a_target_that_leaves_gets_no_new_call_and_ends_what_it_has() {
-    let mut bench = Bench::new(shape(), &["a"]);
+    let mut bench = Bench::new(config(), &["a"]);
     bench.submit("r1", 1, |_| ());
     bench.targets(&["b"]);
     bench.submit("r2", 1, |_| ());
@@ -236,7 +236,7 @@
 
 #[test]
 fn an_answer_with_too_few_pieces_counts_as_none() {
-    let mut bench = Bench::new(shape(), &["a", "b"]);
+    let mut bench = Bench::new(config(), &["a", "b"]);
     bench.submit("r1", 2, |_| ());
     let (call, _, _) = bench.calls[0].clone();
     bench.feed(Event::Ended(call, CallEnd::Done(vec![PieceEnd::Made("x".into())])));
@@ -247,10 +247,10 @@
 // Calls stay as small as they were declared at the start, though the operator raised the batch.
 #[test]
 fn a_changed_declaration_holds_for_the_next_call() {
-    let mut bench = Bench::new(shape(), &["a"]);
+    let mut bench = Bench::new(config(), &["a"]);
     bench.submit("r1", 1, |_| ());
     bench.submit("r2", 12, |_| ());
-    bench.feed(Event::Shape(Batch { size: 16, ..shape() }));
+    bench.feed(Event::Config(Batch { size: 16, ..config() }));
     bench.finish(0, Ms(250));
     assert_eq!(bench.calls[1].2.len(), 12);
 }
@@ -260,7 +260,7 @@
 // is late already waits for its deadline in vain.
 #[test]
 fn late_work_that_no_call_has_taken_for_a_while_is_refused_before_its_deadline() {
-    let mut bench = Bench::new(shape(), &["a"]);
+    let mut bench = Bench::new(config(), &["a"]);
     let late = bench.submit("late", 4, |p| p.due = Ms(0));
     let late2 = bench.submit("late2", 4, |p| p.due = Ms(0));
     for call in 0..6 {
@@ -276,7 +276,7 @@
 // The same where calls are short: what a call takes, not the clock, says how long is in vain.
 #[test]
 fn late_work_behind_short_calls_is_refused_sooner() {
-    let mut bench = Bench::new(Batch { call_ms: 60.0, item_ms: 5.0, ..shape() }, &["a"]);
+    let mut bench = Bench::new(Batch { call_ms: 60.0, item_ms: 5.0, ..config() }, &["a"]);
     bench.submit("late", 4, |p| p.due = Ms(0));
     let late2 = bench.submit("late2", 4, |p| p.due = Ms(0));
     let begun = bench.now;
@@ -291,7 +291,7 @@
 
 #[test]
 fn late_work_that_gets_its_turn_in_time_is_kept() {
-    let mut bench = Bench::new(shape(), &["a"]);
+    let mut bench = Bench::new(config(), &["a"]);
     for request in 0..10 {
         bench.submit(&format!("late{request}"), 8, |p| p.due = Ms(0));
     }
@@ -306,7 +306,7 @@
 // Hundreds of late pieces wait, and each was counted as going before it.
 #[test]
 fn late_work_does_not_count_as_ahead_of_what_is_on_time() {
-    let mut bench = Bench::new(shape(), &["a"]);
+    let mut bench = Bench::new(config(), &["a"]);
     for request in 0..30 {
         bench.submit(&format!("late{request}"), 8, |p| p.due = Ms(0));
     }
--- a/crates/sched/tests/common/mod.rs
+++ b/crates/sched/tests/common/mod.rs
@@ -13,7 +13,7 @@
 pub const KB: u64 = 1_000;
 
 /// One place, eight pieces a call of 240 ms and 10 ms a piece, and room for 100 small results.
-pub fn shape() -> Batch {
+pub fn config() -> Batch {
     let (call_ms, item_ms) = (240.0, 10.0);
     Batch { slots: 1, size: 8, call_ms, item_ms, room: 100 * KB, keep: Ms(4_000) }
 }
@@ -33,8 +33,8 @@
 }
 
 impl Bench {
-    pub fn new(shape: Batch, targets: &[&str]) -> Self {
-        let batcher = Batcher::new(PoolId::from("rerank"), shape, allowance());
+    pub fn new(config: Batch, targets: &[&str]) -> Self {
+        let batcher = Batcher::new(PoolId::from("rerank"), config, allowance());
         let mut bench = Self {
             batcher,
             now: Ms(1_000_000),
--- a/crates/sched/tests/domains.rs
+++ b/crates/sched/tests/domains.rs
@@ -3,7 +3,7 @@
 mod common;
 
 use base::{DomainId, Ms};
-use common::{Bench, shape};
+use common::{Bench, config};
 use sched::batch::Piece;
 
 fn at(domain: &'static str) -> impl Fn(&mut Piece) {
@@ -15,7 +15,7 @@
 // A piece goes to a free target where its inputs lie.
 #[test]
 fn pieces_go_to_the_free_target_beside_their_inputs() {
-    let mut bench = Bench::new(shape(), &["a:east", "b:west"]);
+    let mut bench = Bench::new(config(), &["a:east", "b:west"]);
     for _ in 0..3 {
         let call = bench.calls.len();
         bench.submit("w", 3, at("west"));
@@ -30,7 +30,7 @@
 // No target idles for it: a burst in one domain is served by the targets of both.
 #[test]
 fn a_burst_in_one_domain_fills_the_targets_of_both() {
-    let mut bench = Bench::new(shape(), &["a:east", "b:west"]);
+    let mut bench = Bench::new(config(), &["a:east", "b:west"]);
     bench.submit("r1", 8, at("west"));
     bench.submit("r2", 8, at("west"));
     let targets: Vec<&str> = bench.calls.iter().map(|c| c.1.as_str()).collect();
@@ -41,7 +41,7 @@
 // They wait for one call more than those, and no longer.
 #[test]
 fn pieces_of_a_domain_without_targets_are_not_starved() {
-    let mut bench = Bench::new(shape(), &["a:east"]);
+    let mut bench = Bench::new(config(), &["a:east"]);
     bench.submit("first", 8, at("east"));
     bench.submit("west", 8, at("west"));
     for call in 0..4 {
@@ -59,7 +59,7 @@
         p.home = Some(DomainId::from("west"));
         p.reads = 1_000_000;
     };
-    let mut bench = Bench::new(shape(), &["a:east", "b:west"]);
+    let mut bench = Bench::new(config(), &["a:east", "b:west"]);
     bench.submit("first", 8, at("west"));
     bench.submit("second", 8, much);
     assert_eq!(bench.calls.len(), 1, "the east idles");
@@ -70,7 +70,7 @@
 /// Guards against callers that wait for bytes to be saved: without time left they go anywhere.
 #[test]
 fn pieces_that_read_much_go_anywhere_when_their_domain_would_be_too_late() {
-    let mut bench = Bench::new(shape(), &["a:east", "b:west"]);
+    let mut bench = Bench::new(config(), &["a:east", "b:west"]);
     bench.submit("first", 8, at("west"));
     let due = bench.now + Ms(400);
     bench.submit("second", 8, |p| {
@@ -85,7 +85,7 @@
 /// all others wait: hopeless work would be taken in, and none passed on.
 #[test]
 fn reserved_targets_do_not_shorten_the_wait() {
-    let mut bench = Bench::new(shape(), &["a:east", "!far:west"]);
+    let mut bench = Bench::new(config(), &["a:east", "!far:west"]);
     bench.submit("first", 8, at("east"));
     assert_eq!(bench.calls.len(), 1);
     assert!(bench.batcher.wait(bench.now) > Some(Ms(200)));
--- a/crates/sched/tests/load.rs
+++ b/crates/sched/tests/load.rs
@@ -57,7 +57,7 @@
 
 impl World {
     fn new(hosts: usize) -> Self {
-        let shape = Batch {
+        let config = Batch {
             slots: 1,
             size: 14,
             call_ms: 240.0,
@@ -66,7 +66,7 @@
             keep: Ms(4_000),
         };
         let allowance = Allowance { ratio: 0.2, slack: 50.0, window: Ms(10_000) };
-        let batcher = |_| Batcher::new(PoolId::from("stock"), shape.clone(), allowance);
+        let batcher = |_| Batcher::new(PoolId::from("stock"), config.clone(), allowance);
         let mut world = Self {
             now: Ms::ZERO,
             heap: BinaryHeap::new(),
--- a/crates/sched/tests/room.rs
+++ b/crates/sched/tests/room.rs
@@ -3,12 +3,12 @@
 mod common;
 
 use base::{Ms, TargetId};
-use common::{Bench, KB, shape};
+use common::{Bench, KB, config};
 use sched::batch::{CallEnd, Event, PieceEnd};
 
 /// A target with the results of a finished call, all of them read.
 fn with_read_results(count: u32, bytes: u64) -> Bench {
-    let mut bench = Bench::new(shape(), &["a"]);
+    let mut bench = Bench::new(config(), &["a"]);
     bench.submit("r1", count, |p| p.bytes = bytes);
     bench.finish(0, Ms(250));
     read(&mut bench, "r1", count);
@@ -47,7 +47,7 @@
 
 #[test]
 fn what_nobody_has_read_stays() {
-    let mut bench = Bench::new(shape(), &["a"]);
+    let mut bench = Bench::new(config(), &["a"]);
     bench.submit("r1", 4, |p| p.bytes = 20 * KB);
     bench.finish(0, Ms(250));
     bench.submit("r2", 4, |p| p.bytes = 20 * KB);
@@ -71,7 +71,7 @@
 // After that, less of the room is counted on, and what was read goes sooner.
 #[test]
 fn a_room_that_was_full_sooner_is_trusted_less() {
-    let mut bench = Bench::new(shape(), &["a"]);
+    let mut bench = Bench::new(config(), &["a"]);
     bench.submit("r1", 3, |p| p.bytes = 15 * KB);
     bench.finish(0, Ms(250));
     bench.submit("r2", 1, |p| p.bytes = 5 * KB);
