--- a/crates/edge/src/choose.rs
+++ b/crates/edge/src/choose.rs
@@ -91,7 +91,7 @@
 }
 
 fn knows(link: &Link, subject: u64, readers: &[String]) -> bool {
-    link.subjects().knows(subject) || readers.iter().any(|r| r == link.life().as_str())
+    link.subjects().contains(subject) || readers.iter().any(|r| r == link.life().as_str())
 }
 
 fn candidate<'a>(core: &Core, now: Ms, link: &'a Link, want: Want<'_>) -> Candidate<'a> {
--- a/crates/edge/src/links.rs
+++ b/crates/edge/src/links.rs
@@ -5,7 +5,7 @@
 use link::{Pool, PoolConfig};
 use sched::health::{Health, Outcome};
 use sched::limit::Limit;
-use sched::reading::{Backlog, Subjects};
+use sched::prefill::{Backlog, CachedSubjects};
 use sched::warmup::WarmupState;
 use std::collections::{BTreeSet, HashMap};
 use std::sync::atomic::{AtomicBool, AtomicU32, AtomicU64, Ordering};
@@ -38,7 +38,7 @@
     /// Until when it wants nothing from this host, ms.
     paused: AtomicU64,
     backlog: Mutex<Backlog>,
-    subjects: Mutex<Subjects>,
+    subjects: Mutex<CachedSubjects>,
     warmth: Mutex<WarmupState>,
     /// Time in which it would have registered again, had it been lost, ms.
     unheard: Ms,
@@ -102,7 +102,7 @@
     }
 
     /// What the prompts were about that it has read.
-    pub(crate) fn subjects(&self) -> MutexGuard<'_, Subjects> {
+    pub(crate) fn subjects(&self) -> MutexGuard<'_, CachedSubjects> {
         self.subjects.lock().unwrap_or_else(PoisonError::into_inner)
     }
 
--- a/crates/edge/src/relay.rs
+++ b/crates/edge/src/relay.rs
@@ -189,7 +189,7 @@
         self.tried.push(link.clone());
         let tokens = self.call.ask.own_tokens();
         let reading = self.core.estimate().first_event(&self.call.service, tokens);
-        let time = self.core.estimate().reading(&self.call.service, tokens);
+        let time = self.core.estimate().prefill(&self.call.service, tokens);
         let alone = link.backlog().wait(now) == Ms::ZERO;
         link.backlog().sent(now, time);
         if time >= TOLD {
--- a/crates/edge/src/subjects.rs
+++ b/crates/edge/src/subjects.rs
@@ -40,7 +40,7 @@
 
 /// Whether reading what the prompt shares takes so long that asking pays.
 fn pays(core: &Core, call: &Call) -> bool {
-    let time = core.estimate().reading(&call.service, call.ask.shared_tokens());
+    let time = core.estimate().prefill(&call.service, call.ask.shared_tokens());
     time > ANSWER_WAIT
 }
 
--- a/crates/sched/src/estimate.rs
+++ b/crates/sched/src/estimate.rs
@@ -12,7 +12,7 @@
 use catalog::{Batch, Route};
 use std::collections::HashMap;
 
-use crate::reading::Reading;
+use crate::prefill::PrefillTime;
 
 /// Weight of a new measurement: the last ten count, about a second's worth.
 const WEIGHT: f64 = 0.1;
@@ -25,7 +25,7 @@
 #[derive(Debug, Default)]
 pub struct Estimate {
     stages: HashMap<PoolId, f64>,
-    engines: HashMap<PoolId, Reading>,
+    engines: HashMap<PoolId, PrefillTime>,
 }
 
 impl Estimate {
@@ -51,14 +51,14 @@
 
     /// Time from sending a prompt, of which `tokens` are to be read, to its first event, ms.
     pub fn first_event(&self, service: &PoolId, tokens: u64) -> Ms {
-        let reading = self.engines.get(service).copied().unwrap_or_default();
-        reading.first_event(tokens)
+        let model = self.engines.get(service).copied().unwrap_or_default();
+        model.first_event(tokens)
     }
 
     /// Time for which an engine of this service is busy reading `tokens`, ms.
-    pub fn reading(&self, service: &PoolId, tokens: u64) -> Ms {
-        let reading = self.engines.get(service).copied().unwrap_or_default();
-        reading.reading(tokens)
+    pub fn prefill(&self, service: &PoolId, tokens: u64) -> Ms {
+        let model = self.engines.get(service).copied().unwrap_or_default();
+        model.prefill(tokens)
     }
 
     /// For each stage of a route, the time that is needed after it: the longest chain of stages
--- a/crates/sched/src/lib.rs
+++ b/crates/sched/src/lib.rs
@@ -6,7 +6,7 @@
 //! | [`offload`] | a region that is full beside one that idles | each region's callers wait behind their own targets |
 //! | [`estimate`] | several stages under one aim | the first stage eats the last one's time |
 //! | [`placement`] | engines with prompt caches; services near and far | prompts are read again, answers cross regions |
-//! | [`reading`] | long prompts among short ones | a short one waits behind three long ones beside an idle engine |
+//! | [`prefill`] | long prompts among short ones | a short one waits behind three long ones beside an idle engine |
 //! | [`directory`] | more subjects than requests about each | engines read what another has just read |
 //! | [`health`] | a target that fails, is dark or slow | work goes on flowing to it |
 //! | [`budget`] | failing targets and repeated sends | repeats multiply the load when it hurts |
@@ -31,7 +31,7 @@
 pub mod offload;
 pub mod placement;
 pub mod poison;
-pub mod reading;
+pub mod prefill;
 pub mod retry_after;
 pub mod roster;
 pub mod sample;
--- a/crates/sched/src/reading.rs
+++ b/crates/sched/src/prefill.rs
@@ -20,7 +20,7 @@
 
 /// Time to the first event as a line over the tokens to be read, by least squares.
 #[derive(Clone, Copy, Debug)]
-pub struct Reading {
+pub struct PrefillTime {
     weight: f64,
     tokens: f64,
     ms: f64,
@@ -28,16 +28,16 @@
     product: f64,
 }
 
-impl Default for Reading {
+impl Default for PrefillTime {
     fn default() -> Self {
-        let mut reading = Self { weight: 0.0, tokens: 0.0, ms: 0.0, squares: 0.0, product: 0.0 };
-        reading.add(SHORT.0, SHORT.1);
-        reading.add(LONG.0, LONG.1);
-        reading
+        let mut model = Self { weight: 0.0, tokens: 0.0, ms: 0.0, squares: 0.0, product: 0.0 };
+        model.add(SHORT.0, SHORT.1);
+        model.add(LONG.0, LONG.1);
+        model
     }
 }
 
-impl Reading {
+impl PrefillTime {
     fn add(&mut self, tokens: f64, ms: f64) {
         self.weight += 1.0;
         self.tokens += tokens;
@@ -73,7 +73,7 @@
     }
 
     /// Time for which the engine is busy with the prompt alone, ms.
-    pub fn reading(&self, tokens: u64) -> Ms {
+    pub fn prefill(&self, tokens: u64) -> Ms {
         Ms((self.slope() * tokens as f64) as u64)
     }
 }
@@ -99,13 +99,13 @@
 /// What the prompts were about that one engine has read, as far as this host knows: the newest that
 /// fit into its memory.
 #[derive(Clone, Debug, Default)]
-pub struct Subjects {
+pub struct CachedSubjects {
     /// Subject and shared tokens, the oldest first.
     read: VecDeque<(u64, u64)>,
     tokens: u64,
 }
 
-impl Subjects {
+impl CachedSubjects {
     /// The engine has read a prompt about a subject, of which `tokens` are shared; it remembers
     /// `memory` tokens.
     pub fn record(&mut self, subject: u64, tokens: u64, memory: u64) {
@@ -119,7 +119,7 @@
     }
 
     /// Whether the engine should still know the subject.
-    pub fn knows(&self, subject: u64) -> bool {
+    pub fn contains(&self, subject: u64) -> bool {
         self.read.iter().any(|(id, _)| *id == subject)
     }
 
--- a/crates/sched/tests/reading.rs
+++ b/crates/sched/tests/prefill.rs
@@ -2,31 +2,31 @@
 
 use base::{Ms, PoolId};
 use sched::estimate::Estimate;
-use sched::reading::{Backlog, Reading, Subjects};
+use sched::prefill::{Backlog, CachedSubjects, PrefillTime};
 
 // Stages end too late for the aim although each took what it was given: the time that the engine
 // takes after them was read off other engines, which read twice as fast.
 // It is learned from first events, for short and for long prompts.
 #[test]
 fn the_time_to_read_is_learned_from_first_events() {
-    let mut reading = Reading::default();
+    let mut model = PrefillTime::default();
     for i in 0..200 {
         let tokens = 200 + (i * 37 % 9_000);
-        reading.record(tokens, Ms(70 + tokens * 31 / 1_000));
+        model.record(tokens, Ms(70 + tokens * 31 / 1_000));
     }
     for tokens in [500, 3_000, 9_000] {
-        let (learned, real) = (reading.first_event(tokens).0, 70 + tokens * 31 / 1_000);
+        let (learned, real) = (model.first_event(tokens).0, 70 + tokens * 31 / 1_000);
         assert!(learned.abs_diff(real) <= 10, "{tokens} tokens: {learned} ms, really {real}");
     }
-    assert!(reading.reading(9_000).0.abs_diff(279) <= 10);
+    assert!(model.prefill(9_000).0.abs_diff(279) <= 10);
 }
 
 #[test]
 fn prompts_of_one_length_say_nothing_of_the_slope() {
-    let mut reading = Reading::default();
-    (0..500).for_each(|_| reading.record(1_000, Ms(90)));
-    assert!(reading.first_event(1_000).0.abs_diff(90) <= 3);
-    assert!(reading.reading(1_000) <= Ms(90));
+    let mut model = PrefillTime::default();
+    (0..500).for_each(|_| model.record(1_000, Ms(90)));
+    assert!(model.first_event(1_000).0.abs_diff(90) <= 3);
+    assert!(model.prefill(1_000) <= Ms(90));
 }
 
 #[test]
@@ -55,10 +55,10 @@
 
 #[test]
 fn an_engine_forgets_the_oldest_subjects_when_its_memory_is_full() {
-    let mut subjects = Subjects::default();
+    let mut subjects = CachedSubjects::default();
     (1..=3).for_each(|id| subjects.record(id, 40, 100));
-    assert!(!subjects.knows(1));
+    assert!(!subjects.contains(1));
     subjects.record(2, 40, 100);
     subjects.record(4, 40, 100);
-    assert!(subjects.knows(2) && subjects.knows(4) && !subjects.knows(3));
+    assert!(subjects.contains(2) && subjects.contains(4) && !subjects.contains(3));
 }
