--- a/crates/edge/src/composer/far.rs
+++ b/crates/edge/src/composer/far.rs
@@ -45,7 +45,7 @@
                 far.iter().filter(|((s, _), (at, _))| s == service && now - *at <= LOAD_AGE);
             let known = known.filter(|((_, region), _)| residency.allows(region));
             let known = known.map(|((_, region), (_, wait))| (region.clone(), *wait));
-            offload::better(stage, here, known)
+            offload::choose_region(stage, here, known)
         };
         let region = match (better, here) {
             (Some(region), _) => region,
--- a/crates/edge/src/core.rs
+++ b/crates/edge/src/core.rs
@@ -6,7 +6,7 @@
 use base::{Clock, Ms, TargetId};
 use catalog::{Catalog, Limits, Proof, Residency};
 use logs::note;
-use sched::budget::{Allowance, Budget};
+use sched::budget::{Allowance, RetryBudget};
 use sched::directory::Directory;
 use sched::estimate::Estimate;
 use sched::poison::Poison;
@@ -45,7 +45,7 @@
     pub(crate) packed: Packed,
     links: ArcSwap<Links>,
     known: Mutex<Known>,
-    budget: Mutex<Budget>,
+    budget: Mutex<RetryBudget>,
     poison: Mutex<Poison>,
     estimate: Mutex<Estimate>,
     directory: Mutex<Directory>,
@@ -109,7 +109,7 @@
             gate: Gate::new(clock.now(), &settings),
             pulses: Pulses::default(),
             moved: watch::Sender::new(()),
-            budget: Mutex::new(Budget::new(allowance(&settings))),
+            budget: Mutex::new(RetryBudget::new(allowance(&settings))),
             draws: AtomicU64::new(base::hash_parts(&[
                 settings.host.as_str().as_bytes(),
                 &clock.now().0.to_le_bytes(),
@@ -140,7 +140,7 @@
 
     /// Takes changed settings; addresses stay as they were at the start.
     pub(crate) fn set_settings(&self, settings: Settings) {
-        *lock(&self.budget) = Budget::new(allowance(&settings));
+        *lock(&self.budget) = RetryBudget::new(allowance(&settings));
         self.settings.store(Arc::new(settings));
     }
 
@@ -161,7 +161,7 @@
         self.links.load()
     }
 
-    pub(crate) fn budget(&self) -> MutexGuard<'_, Budget> {
+    pub(crate) fn budget(&self) -> MutexGuard<'_, RetryBudget> {
         lock(&self.budget)
     }
 
--- a/crates/edge/src/tell.rs
+++ b/crates/edge/src/tell.rs
@@ -1,7 +1,7 @@
 //! What other hosts should know at once: gathered for a moment, then told in one message each.
 
 use base::{DomainId, HostId, Ms};
-use sched::poison::{Audience, audience};
+use sched::poison::{Recipients, recipients};
 use std::collections::BTreeMap;
 use std::net::SocketAddr;
 use std::sync::Arc;
@@ -31,7 +31,7 @@
     let hosts = core.members.hosts().len();
     let breaks = |c: &Crash| core.poison().broken(c.fingerprint).len();
     let (all, counted): (Vec<Crash>, Vec<Crash>) =
-        crashes.into_iter().partition(|c| audience(hosts, breaks(c)) == Audience::All);
+        crashes.into_iter().partition(|c| recipients(hosts, breaks(c)) == Recipients::All);
     let mut counters: BTreeMap<HostId, (SocketAddr, Vec<Crash>)> = BTreeMap::new();
     for crash in counted {
         // Where this host counts itself, it knows already.
@@ -56,7 +56,7 @@
     let counts = matches!(core.members.keeper(crash.fingerprint), Some(Owner::Me));
     let broken = core.poison().broken(crash.fingerprint).to_vec();
     let hosts = core.members.hosts().len();
-    if !news || !counts || audience(hosts, broken.len()) == audience(hosts, 1) {
+    if !news || !counts || recipients(hosts, broken.len()) == recipients(hosts, 1) {
         return;
     }
     // Those that were told to this host alone go out too.
--- a/crates/sched/src/batch/mod.rs
+++ b/crates/sched/src/batch/mod.rs
@@ -36,7 +36,7 @@
 use catalog::Batch;
 use std::collections::{BTreeMap, HashMap, HashSet};
 
-use crate::budget::{Allowance, Budget};
+use crate::budget::{Allowance, RetryBudget};
 use late::{Late, LateQueue};
 use target::Target;
 
@@ -60,7 +60,7 @@
 pub struct Batcher {
     service: PoolId,
     config: Batch,
-    budget: Budget,
+    budget: RetryBudget,
     targets: BTreeMap<TargetId, Target>,
     pieces: HashMap<PieceId, Waiting>,
     calls: HashMap<CallId, (TargetId, Vec<PieceId>)>,
@@ -79,7 +79,7 @@
             fill: config.size as f64,
             service,
             config,
-            budget: Budget::new(allowance),
+            budget: RetryBudget::new(allowance),
             targets: BTreeMap::new(),
             pieces: HashMap::new(),
             calls: HashMap::new(),
--- a/crates/sched/src/budget.rs
+++ b/crates/sched/src/budget.rs
@@ -35,13 +35,13 @@
 
 /// This host's part.
 #[derive(Debug)]
-pub struct Budget {
+pub struct RetryBudget {
     allowance: Allowance,
     hosts: usize,
     recent: HashMap<PoolId, Recent>,
 }
 
-impl Budget {
+impl RetryBudget {
     /// Alone at first.
     pub fn new(allowance: Allowance) -> Self {
         Self { allowance, hosts: 1, recent: HashMap::new() }
--- a/crates/sched/src/offload.rs
+++ b/crates/sched/src/offload.rs
@@ -10,7 +10,7 @@
 
 /// How much sooner another region must be able to start a stage for it to go there, ms: the way
 /// there and back, twice, and some, since its load is known from a while ago.
-pub const FAR_COST: Ms = Ms(120);
+pub const CROSS_REGION_COST: Ms = Ms(120);
 /// Bytes that weigh as much as a ms of waiting when they cross regions: two megabytes weigh as an
 /// eighth of a second, about half a call, so that a caller waits less than that for the volume.
 const BYTES_PER_MS: u64 = 16_000;
@@ -36,8 +36,12 @@
 
 /// The region that should make a stage in place of this one, of those whose waits are known. `here`
 /// is the wait in this region; none where it has no target.
-pub fn better<T>(stage: Stage, here: Option<Ms>, far: impl Iterator<Item = (T, Ms)>) -> Option<T> {
-    let cost = FAR_COST + Ms(stage.crossing() / BYTES_PER_MS);
+pub fn choose_region<T>(
+    stage: Stage,
+    here: Option<Ms>,
+    far: impl Iterator<Item = (T, Ms)>,
+) -> Option<T> {
+    let cost = CROSS_REGION_COST + Ms(stage.crossing() / BYTES_PER_MS);
     let (region, wait) = far.min_by_key(|(_, wait)| *wait)?;
     match here {
         Some(here) if here <= wait + cost => None,
--- a/crates/sched/src/poison.rs
+++ b/crates/sched/src/poison.rs
@@ -34,7 +34,7 @@
 
 /// Who is told of a break.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
-pub enum Audience {
+pub enum Recipients {
     /// All hosts.
     All,
     /// The host that counts the request's breaks.
@@ -42,10 +42,10 @@
 }
 
 /// Who is told that `breaks` targets have broken under a request, in a fleet of so many hosts.
-pub fn audience(hosts: usize, breaks: usize) -> Audience {
+pub fn recipients(hosts: usize, breaks: usize) -> Recipients {
     match hosts <= SMALL_FLEET || breaks >= TOLD_TO_ALL {
-        true => Audience::All,
-        false => Audience::Counter,
+        true => Recipients::All,
+        false => Recipients::Counter,
     }
 }
 
--- a/crates/sched/tests/offload.rs
+++ b/crates/sched/tests/offload.rs
@@ -1,20 +1,20 @@
 //! Whether another region makes a stage.
 
 use base::Ms;
-use sched::offload::{FAR_COST, Stage, better};
+use sched::offload::{CROSS_REGION_COST, Stage, choose_region};
 
 /// Four pieces with results of a few bytes that read nothing large.
 const SMALL: Stage = Stage { pieces: 4, bytes: 8_000, reads: 8_000 };
 
 fn chosen(stage: Stage, here: Option<Ms>, far: &[(&'static str, u64)]) -> Option<&'static str> {
-    better(stage, here, far.iter().map(|(region, wait)| (*region, Ms(*wait))))
+    choose_region(stage, here, far.iter().map(|(region, wait)| (*region, Ms(*wait))))
 }
 
 #[test]
 fn a_burst_in_one_region_is_shared_by_the_one_with_the_shortest_wait() {
     let far = [("east", 300), ("west", 50)];
     assert_eq!(chosen(SMALL, Some(Ms(400)), &far), Some("west"));
-    assert_eq!(chosen(SMALL, Some(Ms(50) + FAR_COST), &far), None);
+    assert_eq!(chosen(SMALL, Some(Ms(50) + CROSS_REGION_COST), &far), None);
 }
 
 #[test]
--- a/crates/sched/tests/small.rs
+++ b/crates/sched/tests/small.rs
@@ -2,10 +2,10 @@
 
 use base::{Ms, PoolId, TargetId};
 use catalog::{Backend, Batch, Repeat, Residency, Route, Stage};
-use sched::budget::{Allowance, Budget};
+use sched::budget::{Allowance, RetryBudget};
 use sched::estimate::Estimate;
 use sched::health::{Health, Outcome};
-use sched::poison::{Audience, MEMORY, Poison, SUSPECT, audience};
+use sched::poison::{MEMORY, Poison, Recipients, SUSPECT, recipients};
 use sched::retry_after::retry_after;
 use sched::sample::Sampler;
 
@@ -21,7 +21,7 @@
     let allowance = Allowance { ratio: 0.2, slack: 52.0, window: Ms(10_000) };
     let mut spent = 0;
     for _ in 0..6 {
-        let mut budget = Budget::new(allowance);
+        let mut budget = RetryBudget::new(allowance);
         budget.hosts(6);
         for _ in 0..20 {
             budget.request(Ms(0), &service());
@@ -35,7 +35,7 @@
 #[test]
 fn a_host_that_sees_fewer_others_spends_no_more() {
     let allowance = Allowance { ratio: 0.0, slack: 60.0, window: Ms(10_000) };
-    let mut budget = Budget::new(allowance);
+    let mut budget = RetryBudget::new(allowance);
     budget.hosts(6);
     budget.hosts(1);
     let spent = (0..100).filter(|_| budget.take(Ms(0), &service())).count();
@@ -45,7 +45,7 @@
 #[test]
 fn second_sends_are_there_again_when_the_window_has_passed() {
     let allowance = Allowance { ratio: 0.0, slack: 10.0, window: Ms(1_000) };
-    let mut budget = Budget::new(allowance);
+    let mut budget = RetryBudget::new(allowance);
     while budget.take(Ms(0), &service()) {}
     assert!(!budget.take(Ms(1_000), &service()));
     assert!(budget.take(Ms(1_001), &service()));
@@ -178,8 +178,8 @@
 // all hear of it from the second one on, and in a small fleet at once.
 #[test]
 fn a_break_is_told_to_all_where_there_are_few_or_it_comes_again() {
-    assert_eq!(audience(6, 1), Audience::All);
-    assert_eq!(audience(295, 1), Audience::Counter);
-    assert_eq!(audience(295, 2), Audience::All);
-    assert_eq!(audience(295, SUSPECT), Audience::All);
+    assert_eq!(recipients(6, 1), Recipients::All);
+    assert_eq!(recipients(295, 1), Recipients::Counter);
+    assert_eq!(recipients(295, 2), Recipients::All);
+    assert_eq!(recipients(295, SUSPECT), Recipients::All);
 }
