--- a/crates/sched/src/assignment.rs
+++ b/crates/sched/src/assignment.rs
@@ -1,36 +1,39 @@
-//! *Duty*: which host does what one host does for many.
+//! Assigns work that one host does for many others.
 //!
-//! Answers: a fleet of a few large hosts and many small ones, in which one host composes the stage
-//! calls of a region or reads the store for its domain. Without it the duty falls to a small host
-//! nine times in ten, whose processor and link then bound what all its peers get done.
+//! One host composes the stage calls of a region, and one host reads the store for its failure
+//! domain. In a fleet of a few large hosts and many small ones, an assignment that ignores size
+//! gives this work to a small host nine times in ten; its processor and network link then limit the
+//! throughput of all its peers. So only hosts that are large enough are considered.
 //!
-//! Whom a host tells something is a choice of the same kind: [`recipients`] spreads it.
+//! All hosts that see the same members choose the same host, and as few assignments as possible
+//! move when hosts join or leave: the choice is made by rendezvous hashing.
 //!
-//! All hosts that see the same others choose the same one, and choices move as little as they can
-//! when hosts come and go: rendezvous hashing, among the hosts that are large enough.
+//! Which hosts to send a notification to is a similar choice: [`recipients`] spreads it evenly.
 
 use base::{HostId, hash_parts, rendezvous};
 
-/// Part of the largest host's capacity that a host must have to be given a duty, percent: hosts of
-/// about one size share the duties, and the loss of one large host among several moves few.
-const LEAST: u64 = 50;
+/// Capacity that a host needs to be assigned work, in percent of the largest host's capacity. At
+/// half, hosts of about the same size share the work, and the loss of one of several large hosts
+/// moves few assignments.
+const MIN_CAPACITY_PERCENT: u64 = 50;
 
-/// The host that does the duty `key` names; none where there are no hosts.
+/// The host to which the work named by `key` is assigned; none if there are no hosts.
 ///
-/// `capacity` is a host's processing power in any unit; 0 where it isn't known.
+/// `capacity` is a host's processing power in any unit, 0 if it is not known.
 pub fn assignee<'a, T>(
     key: &[u8],
     hosts: &[&'a T],
     name: impl Fn(&T) -> &str,
     capacity: impl Fn(&T) -> u32,
 ) -> Option<&'a T> {
-    let most = hosts.iter().map(|h| capacity(h)).max()?;
-    let large = |h: &&&T| u64::from(capacity(h)) * 100 >= u64::from(most) * LEAST;
+    let largest = hosts.iter().map(|h| capacity(h)).max()?;
+    let large = |h: &&&T| u64::from(capacity(h)) * 100 >= u64::from(largest) * MIN_CAPACITY_PERCENT;
     rendezvous(key, hosts.iter().filter(large), |h| name(h)).copied()
 }
 
-/// How many of `hosts` come before `me` in the order of hosts that `key` names, in which the first
-/// few share what all of them together may do; none where `me` isn't one of them.
+/// Number of `hosts` that come before `me` in the order of hosts that `key` determines; none if
+/// `me` is not one of them. Limits for all hosts together are shared by the first few hosts of this
+/// order.
 pub fn position<'a>(
     key: &str,
     me: &HostId,
@@ -46,18 +49,18 @@
     found.then_some(before)
 }
 
-/// The hosts that `me` tells something, `most` of them: different hosts tell different ones, so that
-/// none hears from a whole fleet while others hear nothing.
+/// At most `most` hosts to which `me` sends a notification. Different senders choose different
+/// hosts, so that no host hears from a whole fleet while others hear nothing.
 pub fn recipients<'a, T>(
     me: &str,
     hosts: &[&'a T],
     name: impl Fn(&T) -> &str,
     most: usize,
 ) -> Vec<&'a T> {
-    let mut told = hosts.to_vec();
-    if told.len() > most {
-        told.sort_by_cached_key(|h| hash_parts(&[me.as_bytes(), name(h).as_bytes()]));
-        told.truncate(most);
+    let mut chosen = hosts.to_vec();
+    if chosen.len() > most {
+        chosen.sort_by_cached_key(|h| hash_parts(&[me.as_bytes(), name(h).as_bytes()]));
+        chosen.truncate(most);
     }
-    told
+    chosen
 }
--- a/crates/sched/src/health.rs
+++ b/crates/sched/src/health.rs
@@ -1,135 +1,136 @@
-//! *Health*: what a target's answers say of it.
+//! Rates each target by the outcomes of the requests sent to it.
 //!
-//! Answers: a target that is down, dark, slow or fails a part of its requests while its own health
-//! check is good. Without it a fixed part of all work goes on flowing to it.
+//! A target may be down, unreachable, slow or failing a part of its requests while its own health
+//! check still passes. Without these ratings it would go on getting a fixed part of all work.
 //!
-//! | seen | what follows |
+//! | observed | consequence |
 //! |---|---|
-//! | no connection | ejected at once: nothing was lost, others are tried |
-//! | [`BREAKS`] broken or silent connections in a row | ejected |
-//! | end of the ejection | one trial; a failure doubles the next ejection |
-//! | failures among the answers | a higher cost, by their share: it gets less, not nothing |
+//! | no connection | ejected at once: no request was lost, other targets are tried |
+//! | [`MAX_BREAKS`] broken or silent connections in a row | ejected |
+//! | the ejection ends | one trial request; if it fails, the next ejection lasts twice as long |
+//! | failed responses | a higher cost in proportion to their share: the target gets less work, but some |
 
 use base::Ms;
 
-/// Broken or silent connections in a row that eject: one may be the link's or the request's own.
-pub const BREAKS: u32 = 2;
-/// First ejection, ms: about the time a process takes to start again.
-const EJECT: Ms = Ms(500);
-/// Longest ejection, ms: a crashed target is back within some seconds.
-const EJECT_MOST: Ms = Ms(4_000);
-/// Weight of a new answer in the share of failures: twenty answers are remembered.
-const FAIL_WEIGHT: f64 = 0.05;
-/// Weight of a new answer in the typical time.
-const TIME_WEIGHT: f64 = 0.15;
-/// Time after which an old share of failures has halved without any answer, ms, so that a target
-/// that is passed over gets another chance.
-const FAIL_HALF: f64 = 3_000.0;
+/// Broken or silent connections in a row after which a target is ejected. A single one may be
+/// caused by the network link or by the request itself.
+pub const MAX_BREAKS: u32 = 2;
+/// First ejection: about the time that a process takes to restart.
+const FIRST_EJECTION: Ms = Ms(500);
+/// Longest ejection: a crashed target is back within a few seconds.
+const MAX_EJECTION: Ms = Ms(4_000);
+/// Weight of a new response in the failure rate: about the last twenty responses count.
+const FAILURE_WEIGHT: f64 = 0.05;
+/// Weight of a new response in the latency.
+const LATENCY_WEIGHT: f64 = 0.15;
+/// Half-life of the failure rate while no response arrives, ms, so that a target that gets no
+/// requests is tried again.
+const FAILURE_HALF_LIFE_MS: f64 = 3_000.0;
 
-/// How one send ended.
+/// How a request to a target ended.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 pub enum Outcome {
-    /// A sound answer after this long, ms.
+    /// A valid response after this time.
     Good(Ms),
-    /// The target answered that it failed.
+    /// The target responded that it failed.
     Failed,
-    /// The target is full and did not run it.
+    /// The target is full and did not run the request.
     Full,
     /// No connection could be made.
     NoConnection,
-    /// The connection broke, or what came made no sense.
+    /// The connection broke, or the response was malformed.
     Broken,
-    /// Nothing came for too long.
+    /// No response arrived before the time-out.
     Silent,
 }
 
-/// What is known of one target.
+/// What a host knows about the health of one target.
 #[derive(Clone, Debug, Default)]
 pub struct Health {
-    breaks: u32,
+    broken_in_row: u32,
     ejections: u32,
     ejected: Option<Ms>,
-    trial: bool,
-    fails: f64,
-    fails_at: Ms,
-    time: Option<f64>,
+    trial_running: bool,
+    failure_rate: f64,
+    failure_rate_at: Ms,
+    latency: Option<f64>,
 }
 
 impl Health {
-    /// Takes the end of one send.
+    /// Records the outcome of one request.
     pub fn record(&mut self, now: Ms, outcome: Outcome) {
-        self.trial = false;
+        self.trial_running = false;
         match outcome {
             Outcome::Good(took) => {
                 self.recover();
-                self.fail(now, 0.0);
+                self.update_failure_rate(now, 0.0);
                 let took = took.0 as f64;
-                self.time = Some(self.time.map_or(took, |t| t + TIME_WEIGHT * (took - t)));
+                self.latency = Some(self.latency.map_or(took, |t| t + LATENCY_WEIGHT * (took - t)));
             }
             Outcome::Failed => {
-                self.breaks = 0;
-                self.fail(now, 1.0);
+                self.broken_in_row = 0;
+                self.update_failure_rate(now, 1.0);
             }
             Outcome::Full => {}
             Outcome::NoConnection => self.eject(now),
             Outcome::Broken | Outcome::Silent => {
-                self.fail(now, 1.0);
-                self.breaks += 1;
-                if self.breaks >= BREAKS || self.ejections > 0 {
+                self.update_failure_rate(now, 1.0);
+                self.broken_in_row += 1;
+                if self.broken_in_row >= MAX_BREAKS || self.ejections > 0 {
                     self.eject(now);
                 }
             }
         }
     }
 
-    /// Whether it may get work now: it isn't ejected, or its trial is due.
+    /// Whether the target may get a request now: it is not ejected, or its trial request is due.
     pub fn usable(&self, now: Ms) -> bool {
         match self.ejected {
-            Some(until) => now >= until && !self.trial,
+            Some(until) => now >= until && !self.trial_running,
             None => true,
         }
     }
 
-    /// Whether the next send is a trial after an ejection.
+    /// Whether the next request is a trial after an ejection.
     pub fn on_trial(&self) -> bool {
         self.ejected.is_some()
     }
 
-    /// A send begins.
+    /// Records that a request is being sent.
     pub fn begin(&mut self) {
-        self.trial = self.ejected.is_some();
+        self.trial_running = self.ejected.is_some();
     }
 
-    /// Until when it is ejected.
+    /// End of the ejection, if the target is ejected.
     pub fn ejected_until(&self) -> Option<Ms> {
         self.ejected
     }
 
-    /// Share of its answers that failed lately, 0 to 1.
+    /// Share of recent responses that were failures, 0 to 1.
     pub fn failure_rate(&self, now: Ms) -> f64 {
-        self.fails * 0.5f64.powf((now - self.fails_at).0 as f64 / FAIL_HALF)
+        self.failure_rate * 0.5f64.powf((now - self.failure_rate_at).0 as f64 / FAILURE_HALF_LIFE_MS)
     }
 
-    /// Typical time of an answer, ms; none before the first.
+    /// Moving average of the response time, ms; none before the first response.
     pub fn latency(&self) -> Option<f64> {
-        self.time
+        self.latency
     }
 
-    fn fail(&mut self, now: Ms, failed: f64) {
+    fn update_failure_rate(&mut self, now: Ms, failed: f64) {
         let old = self.failure_rate(now);
-        self.fails = old + FAIL_WEIGHT * (failed - old);
-        self.fails_at = now;
+        self.failure_rate = old + FAILURE_WEIGHT * (failed - old);
+        self.failure_rate_at = now;
     }
 
     fn eject(&mut self, now: Ms) {
-        let span = EJECT.scale(1 << self.ejections.min(8), 1).min(EJECT_MOST);
+        let span = FIRST_EJECTION.scale(1 << self.ejections.min(8), 1).min(MAX_EJECTION);
         self.ejections += 1;
-        self.breaks = 0;
+        self.broken_in_row = 0;
         self.ejected = Some(now + span);
     }
 
     fn recover(&mut self) {
-        self.breaks = 0;
+        self.broken_in_row = 0;
         self.ejections = 0;
         self.ejected = None;
     }
--- a/crates/sched/src/lib.rs
+++ b/crates/sched/src/lib.rs
@@ -1,24 +1,27 @@
-//! Decisions under load of the edge hosts, without network or clock.
+//! Scheduling decisions of the edge hosts under load. The code here uses neither the network nor a
+//! clock: callers pass in the current time and carry out what is decided.
 //!
-//! | module | answers | without it |
+//! Each module handles one situation. The last column tells what happens without it.
+//!
+//! | module | situation | without the module |
 //! |---|---|---|
-//! | [`batch`] | many small stage calls with a high fixed cost, from many hosts | targets are full at a third of what they can do |
-//! | [`offload`] | a region that is full beside one that idles | each region's callers wait behind their own targets |
-//! | [`estimate`] | several stages under one aim | the first stage eats the last one's time |
-//! | [`placement`] | engines with prompt caches; services near and far | prompts are read again, answers cross regions |
-//! | [`prefill`] | long prompts among short ones | a short one waits behind three long ones beside an idle engine |
-//! | [`directory`] | more subjects than requests about each | engines read what another has just read |
-//! | [`health`] | a target that fails, is dark or slow | work goes on flowing to it |
-//! | [`budget`] | failing targets and repeated sends | repeats multiply the load when it hurts |
-//! | [`poison`] | a request that crashes whatever runs it | its re-sends take the targets down in turn |
-//! | [`sample`] | a burst of ordinary successes | logs take the processor's time |
-//! | [`assignment`] | few large hosts among many small ones | what one host does for many falls to a small one |
-//! | [`store_reader`] | hundreds of hosts that follow one store | its load grows with the fleet; a change wakes all hosts there |
-//! | [`retry_after`] | refused callers | they return at once, or all together |
-//! | [`limit`] | a target in need that says how much it takes from all hosts | each host goes on sending its full share |
-//! | [`evacuation`] | a failure domain that is emptied, from several sources | old word brings work back to it |
-//! | [`roster`] | a cut through the fleet | each side takes the whole of a common limit |
-//! | [`warmup`] | targets that come back cold into a burst | they fall over again |
+//! | [`batch`] | many hosts send small stage calls, each with a high fixed cost | targets are saturated at a third of their capacity |
+//! | [`offload`] | one region is full while another is idle | the callers of each region wait for its own targets |
+//! | [`estimate`] | several stages share one latency aim | the first stage uses up the time of the last one |
+//! | [`placement`] | inference engines with prompt caches; targets near and far | prompts are processed again, responses cross regions |
+//! | [`prefill`] | long prompts mixed with short ones | a short prompt waits behind three long ones while the next engine is idle |
+//! | [`directory`] | more subjects than requests for each of them | engines process prompts that another engine has just processed |
+//! | [`health`] | a target fails, is unreachable or is slow | it goes on getting work |
+//! | [`budget`] | targets fail and requests are retried | retries multiply the load on a service that is already failing |
+//! | [`poison`] | a request crashes every target that runs it | its retries take down one target after the other |
+//! | [`sample`] | a burst of ordinary successes | logging uses up the processor time |
+//! | [`assignment`] | a few large hosts among many small ones | a small host gets the work that one host does for all others |
+//! | [`store_reader`] | hundreds of hosts follow one store | the store's load grows with the fleet, and each change wakes all hosts there |
+//! | [`retry_after`] | callers are refused | they retry at once, or all at the same moment |
+//! | [`limit`] | an overloaded target announces the rate that it accepts from all hosts together | each host goes on sending its full share |
+//! | [`evacuation`] | a failure domain is evacuated, and hosts learn of it from several sources | outdated information sends work back to the domain |
+//! | [`roster`] | a network partition | each side uses the whole of a shared limit |
+//! | [`warmup`] | targets restart cold during a burst | they crash again |
 
 pub mod assignment;
 pub mod batch;
