--- a/crates/sched/src/budget.rs
+++ b/crates/sched/src/budget.rs
@@ -1,39 +1,40 @@
-//! *Budget*: how many second sends a service gets from this host.
+//! Limits how many retries a service gets from this host.
 //!
-//! Answers: targets that fail while traffic is high. Without it every failed send becomes two or
-//! three, and the service that was nearly full is buried.
+//! When targets fail under high traffic, unlimited retries would turn every failed request into two
+//! or three, and overload a service that was nearly full.
 //!
-//! The allowance is one for the fleet: a ratio of the requests in a window plus a fixed slack. A
-//! host knows only its own requests, so it spends the ratio of these and its part of the slack:
-//! the parts of all hosts add up to the whole. Hosts that can't see each other would each take a
-//! larger part, so the part is of the most hosts that were ever seen alive at once.
+//! The retry budget is defined for the fleet: a ratio of the requests in a window plus a fixed
+//! slack. A host knows only its own requests, so it spends the ratio of these and its share of the
+//! slack; the shares of all hosts add up to the whole. Hosts that can't see each other would each
+//! take a larger share, so the slack is divided by the largest number of hosts that were ever seen
+//! alive at once.
 
 use base::{Ms, PoolId};
 use std::collections::{HashMap, VecDeque};
 
-/// Part of the allowance that is spent, percent: sends under way when a window slides, and hosts
-/// that have just started and count too few others, use the rest.
-const SPENT_SHARE: f64 = 0.8;
+/// Part of the budget that is spent. The rest covers retries in flight when a window slides, and
+/// hosts that have just started and know too few of the others.
+const USABLE_SHARE: f64 = 0.8;
 
-/// The fleet's allowance.
+/// The retry budget of the fleet.
 #[derive(Clone, Copy, Debug)]
 pub struct Allowance {
-    /// Second sends for each request.
+    /// Retries for each request.
     pub ratio: f64,
-    /// Second sends in a window besides.
+    /// Retries in a window in addition to that.
     pub slack: f64,
-    /// Length of a window, ms.
+    /// Length of a window.
     pub window: Ms,
 }
 
-/// What was sent to one service lately.
+/// Requests to one service within the window.
 #[derive(Debug, Default)]
 struct Recent {
-    firsts: VecDeque<Ms>,
-    seconds: VecDeque<Ms>,
+    requests: VecDeque<Ms>,
+    retries: VecDeque<Ms>,
 }
 
-/// This host's part.
+/// This host's share of the budget.
 #[derive(Debug)]
 pub struct RetryBudget {
     allowance: Allowance,
@@ -42,30 +43,30 @@
 }
 
 impl RetryBudget {
-    /// Alone at first.
+    /// The budget of a host that knows no other yet.
     pub fn new(allowance: Allowance) -> Self {
         Self { allowance, hosts: 1, recent: HashMap::new() }
     }
 
-    /// So many hosts are alive, this one included.
+    /// Records that `live` hosts are alive, this one included.
     pub fn hosts(&mut self, live: usize) {
         self.hosts = self.hosts.max(live);
     }
 
-    /// A request for the service arrived.
+    /// Records that a request for the service arrived.
     pub fn request(&mut self, now: Ms, service: &PoolId) {
-        self.recent(now, service).firsts.push_back(now);
+        self.recent(now, service).requests.push_back(now);
     }
 
-    /// Takes one second send, if there is one left.
+    /// Takes one retry from the budget, if there is one left.
     pub fn take(&mut self, now: Ms, service: &PoolId) -> bool {
         let Allowance { ratio, slack, .. } = self.allowance;
-        let part = slack / self.hosts as f64;
+        let share = slack / self.hosts as f64;
         let recent = self.recent(now, service);
-        let limit = SPENT_SHARE * (ratio * recent.firsts.len() as f64 + part);
-        let fits = (recent.seconds.len() + 1) as f64 <= limit;
+        let limit = USABLE_SHARE * (ratio * recent.requests.len() as f64 + share);
+        let fits = (recent.retries.len() + 1) as f64 <= limit;
         if fits {
-            recent.seconds.push_back(now);
+            recent.retries.push_back(now);
         }
         fits
     }
@@ -73,7 +74,7 @@
     fn recent(&mut self, now: Ms, service: &PoolId) -> &mut Recent {
         let window = self.allowance.window;
         let recent = self.recent.entry(service.clone()).or_default();
-        for times in [&mut recent.firsts, &mut recent.seconds] {
+        for times in [&mut recent.requests, &mut recent.retries] {
             while times.front().is_some_and(|at| now - *at > window) {
                 times.pop_front();
             }
--- a/crates/sched/src/offload.rs
+++ b/crates/sched/src/offload.rs
@@ -1,41 +1,41 @@
-//! *Offload*: whether another region makes a stage.
+//! Decides whether a stage is made in another region.
 //!
-//! Answers: regions with few targets of a service, of which a burst or a lost target fills one
-//! while another idles. Without it each region's callers wait behind their own targets alone. Done
-//! too readily, results cross regions, which is paid by volume: each piece of a stage reads all
-//! results of the one before, so sixteen pieces that read eight small results move as much as two
-//! large ones.
+//! A region has few targets of a service, so a burst or the loss of a target fills one region while
+//! another is idle. Without offloading, the callers of each region wait for its own targets only.
+//! But offloading too readily moves results across regions, which is paid for by volume: each piece
+//! of a stage reads all results of the stage before, so sixteen pieces that read eight small
+//! results move as much data as two large results do.
 
 use base::Ms;
 
-/// How much sooner another region must be able to start a stage for it to go there, ms: the way
-/// there and back, twice, and some, since its load is known from a while ago.
+/// How much sooner another region must be able to start a stage for it to be made there: two round
+/// trips and a margin, because the other region's load is known with a delay.
 pub const CROSS_REGION_COST: Ms = Ms(120);
-/// Bytes that weigh as much as a ms of waiting when they cross regions: two megabytes weigh as an
-/// eighth of a second, about half a call, so that a caller waits less than that for the volume.
+/// Bytes across regions that count as much as one ms of waiting. Two megabytes count as an eighth
+/// of a second, about half a call, so that a caller waits less than that to save the volume.
 const BYTES_PER_MS: u64 = 16_000;
 
-/// A stage that is handed in where what it reads lies.
+/// A stage that was submitted in the region where its inputs are.
 #[derive(Clone, Copy, Debug)]
 pub struct Stage {
-    /// Its pieces.
+    /// Number of its pieces.
     pub pieces: u64,
     /// Size of each result, bytes.
     pub bytes: u64,
-    /// What each piece reads, bytes.
+    /// Size of what each piece reads, bytes.
     pub reads: u64,
 }
 
 impl Stage {
-    /// Bytes that cross when another region makes it: its results on their way back, and what each
-    /// of its pieces reads.
+    /// Bytes that cross regions if another region makes the stage: its results on their way back,
+    /// and what each of its pieces reads.
     const fn crossing(&self) -> u64 {
         (self.bytes + self.reads) * self.pieces
     }
 }
 
-/// The region that should make a stage in place of this one, of those whose waits are known. `here`
-/// is the wait in this region; none where it has no target.
+/// The region that should make a stage in place of this one, of those whose waiting times are
+/// known. `here` is the waiting time in this region; none if it has no target.
 pub fn choose_region<T>(
     stage: Stage,
     here: Option<Ms>,
--- a/crates/sched/src/prefill.rs
+++ b/crates/sched/src/prefill.rs
@@ -1,24 +1,28 @@
-//! *Reading*: how long engines read prompts, and what each has yet to read.
+//! Estimates how long inference engines take to read (prefill) prompts, and how much each has yet
+//! to read.
 //!
-//! Answers: prompts of very different lengths at a handful of engines. An engine reads one after the
-//! other, so a short question behind three long reports waits half a second for its first event,
-//! while the engine next to it idles. Counting requests doesn't show it: streams that are being
-//! written stay for seconds and cost next to nothing.
+//! A handful of engines get prompts of very different lengths, and an engine reads one after the
+//! other. So a short question behind three long reports waits half a second for its first event,
+//! while the next engine is idle. The number of requests at an engine doesn't show this: streams
+//! that are being generated stay for seconds and cost next to nothing.
 //!
-//! So each send adds the time to read its prompt to what its engine has to do. That time is a line
-//! over the tokens to be read, learned from first events of engines that had nothing else to read.
+//! So each request that is sent adds the time to read its prompt to the engine's backlog. That time
+//! is modelled as a linear function of the number of tokens to be read, fitted to the times of
+//! first events from engines that had nothing else to read.
 
 use base::Ms;
 use std::collections::VecDeque;
 
-/// Weight of a new first event: fifty of them count, some seconds of one host's requests.
-const WEIGHT: f64 = 0.02;
-/// First event that is assumed until others were seen, as tokens to be read and ms: a short prompt.
-const SHORT: (f64, f64) = (0.0, 60.0);
-/// The same for a long one. Both together weigh as much as two that were seen.
-const LONG: (f64, f64) = (10_000.0, 260.0);
+/// Weight of a new measurement: about the last fifty count, which one host collects in some
+/// seconds.
+const SAMPLE_WEIGHT: f64 = 0.02;
+/// Assumed before anything was measured: a short prompt, as tokens to be read and ms to the first
+/// event.
+const ASSUMED_SHORT: (f64, f64) = (0.0, 60.0);
+/// The same for a long prompt. Both assumptions together weigh as much as two measurements.
+const ASSUMED_LONG: (f64, f64) = (10_000.0, 260.0);
 
-/// Time to the first event as a line over the tokens to be read, by least squares.
+/// Time to the first event as a linear function of the tokens to be read, fitted by least squares.
 #[derive(Clone, Copy, Debug)]
 pub struct PrefillTime {
     weight: f64,
@@ -31,8 +35,8 @@
 impl Default for PrefillTime {
     fn default() -> Self {
         let mut model = Self { weight: 0.0, tokens: 0.0, ms: 0.0, squares: 0.0, product: 0.0 };
-        model.add(SHORT.0, SHORT.1);
-        model.add(LONG.0, LONG.1);
+        model.add(ASSUMED_SHORT.0, ASSUMED_SHORT.1);
+        model.add(ASSUMED_LONG.0, ASSUMED_LONG.1);
         model
     }
 }
@@ -46,12 +50,12 @@
         self.product += tokens * ms;
     }
 
-    /// A first event came after `took`, with `tokens` to be read before it.
+    /// Records that the first event came after `took`, with `tokens` to be read before it.
     pub fn record(&mut self, tokens: u64, took: Ms) {
         for sum in
             [&mut self.weight, &mut self.tokens, &mut self.ms, &mut self.squares, &mut self.product]
         {
-            *sum *= 1.0 - WEIGHT;
+            *sum *= 1.0 - SAMPLE_WEIGHT;
         }
         self.add(tokens as f64, took.0 as f64);
     }
@@ -66,48 +70,48 @@
         }
     }
 
-    /// Time to the first event of an engine that has nothing else to read, ms.
+    /// Time to the first event from an engine that has nothing else to read.
     pub fn first_event(&self, tokens: u64) -> Ms {
         let base = (self.ms - self.slope() * self.tokens) / self.weight;
         Ms((base.max(0.0) + self.slope() * tokens as f64) as u64)
     }
 
-    /// Time for which the engine is busy with the prompt alone, ms.
+    /// Time for which reading the prompt alone keeps the engine busy.
     pub fn prefill(&self, tokens: u64) -> Ms {
         Ms((self.slope() * tokens as f64) as u64)
     }
 }
 
-/// What one engine has yet to read, as far as this host knows.
+/// The time that one engine still needs to read its prompts, as far as this host knows.
 #[derive(Clone, Copy, Debug, Default)]
 pub struct Backlog {
     until: Ms,
 }
 
 impl Backlog {
-    /// A prompt was sent that takes `time` to read.
+    /// Records that a prompt was sent that takes `time` to read.
     pub fn sent(&mut self, now: Ms, time: Ms) {
         self.until = self.until.max(now) + time;
     }
 
-    /// Time until the engine has read all that it was sent, ms.
+    /// Time until the engine has read all prompts that were sent to it.
     pub fn wait(&self, now: Ms) -> Ms {
         self.until.max(now) - now
     }
 }
 
-/// What the prompts were about that one engine has read, as far as this host knows: the newest that
-/// fit into its memory.
+/// The subjects whose prompts one engine has in its cache, as far as this host knows: the newest
+/// ones that fit into it.
 #[derive(Clone, Debug, Default)]
 pub struct CachedSubjects {
-    /// Subject and shared tokens, the oldest first.
+    /// Subjects with the tokens that their prompts share, the oldest first.
     read: VecDeque<(u64, u64)>,
     tokens: u64,
 }
 
 impl CachedSubjects {
-    /// The engine has read a prompt about a subject, of which `tokens` are shared; it remembers
-    /// `memory` tokens.
+    /// Records that the engine has read a prompt about a subject, `tokens` of which are shared with
+    /// other prompts about it. The engine's cache holds `memory` tokens.
     pub fn record(&mut self, subject: u64, tokens: u64, memory: u64) {
         self.forget(subject);
         self.read.push_back((subject, tokens));
@@ -118,7 +122,7 @@
         }
     }
 
-    /// Whether the engine should still know the subject.
+    /// Whether the engine should still have the subject in its cache.
     pub fn contains(&self, subject: u64) -> bool {
         self.read.iter().any(|(id, _)| *id == subject)
     }
--- a/crates/sched/src/store_reader.rs
+++ b/crates/sched/src/store_reader.rs
@@ -1,45 +1,47 @@
-//! *Source*: which hosts read the platform's store, and whom the others ask.
+//! Decides which hosts read the platform's store, and which host the others ask instead.
 //!
-//! Answers: hundreds of hosts that all need the same few facts, each within a second or two.
-//! Without it each host reads for itself, so that the store's load grows with the fleet, and one
-//! change wakes all hosts at the store at the same moment.
+//! Hundreds of hosts need the same few facts, each within a second or two. If each host read for
+//! itself, the store's load would grow with the fleet, and each change would wake all hosts at the
+//! store at the same moment.
 //!
-//! In each failure domain all hosts name the same one by what they know of each other. That one
-//! reads; the others ask it. A host that is asked reads too, whatever it thinks itself: two hosts
-//! that name different readers cost a second reader, and none waits for an agreement.
+//! In each failure domain all hosts designate the same reader by what they know of each other. The
+//! reader reads the store, the others ask the reader. A host that is asked reads too, even if it
+//! considers another host the reader: if two hosts designate different readers, this costs a second
+//! reader, and none of them waits for an agreement.
 //!
-//! | what a host sees | what it does |
+//! | what a host observes | what it does |
 //! |---|---|
-//! | it holds nothing yet | reads the store itself, once |
-//! | it is the one that is named, or was asked lately | reads |
-//! | another is named | asks that one |
-//! | no answer | passes it over for three seconds, asks the next |
-//! | that host is itself kept from the store | the same, and reads once itself: the store may turn away that host alone |
-//! | two hosts in a row can't be reached | it may be cut off from them: reads itself for three seconds |
+//! | it has no data yet | reads the store itself, once |
+//! | it is the designated reader, or was asked lately | reads the store |
+//! | another host is the designated reader | asks that host |
+//! | that host does not respond | skips it for three seconds and asks the next one |
+//! | that host can't reach the store itself | the same, and also reads once itself: the store may refuse that host only |
+//! | two hosts in a row can't be reached | may itself be cut off from them: reads the store itself for three seconds |
 //!
-//! While the store is away from all, each host calls it once for each host that it asked in vain,
-//! which takes about a second; hundreds that went on by themselves would call it without end.
+//! While no host can reach the store, each host calls it once for each host that it asked in vain,
+//! which takes about a second. If hundreds of hosts kept reading on their own, they would call it
+//! without end.
 
 use base::{HostId, Ms};
 use std::collections::HashMap;
 
-/// Time for which a host reads after it was last asked, ms: some times longer than a query waits,
-/// so that a reader that is in use never stops between two.
-const ASKED: Ms = Ms(4_000);
-/// Time for which a host that did not help is passed over, ms: others have noticed by then that it
+/// Time for which a host reads after it was last asked: several times as long as a query waits, so
+/// that a reader in use never stops between two queries.
+const READ_AFTER_ASKED: Ms = Ms(4_000);
+/// Time for which a host that could not help is skipped: after it, the others have noticed that it
 /// is gone, or the store is back.
-const PASS: Ms = Ms(3_000);
-/// Hosts in a row that can't be reached, after which a host takes itself to be cut off.
-const UNREACHABLE: u32 = 2;
-/// Time for which such a host reads for itself, ms.
-const ALONE: Ms = Ms(3_000);
+const SKIP_TIME: Ms = Ms(3_000);
+/// Hosts in a row that can't be reached, after which a host assumes that it is cut off itself.
+const MAX_UNREACHABLE: u32 = 2;
+/// Time for which a host that is cut off reads the store itself.
+const CUT_OFF_TIME: Ms = Ms(3_000);
 
-/// Why a host that was asked did not help.
+/// Why a host that was asked could not help.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 pub enum ReaderFault {
-    /// It didn't answer.
+    /// It did not respond.
     Unreachable,
-    /// It answered, but what it knows of the store is too old.
+    /// It responded, but its data from the store is too old.
     Stale,
 }
 
@@ -47,44 +49,44 @@
 #[derive(Debug, Default)]
 pub struct StoreReaders {
     asked: Option<Ms>,
-    alone: Option<Ms>,
-    passed: HashMap<HostId, Ms>,
+    cut_off: Option<Ms>,
+    skipped: HashMap<HostId, Ms>,
     unreachable: u32,
 }
 
 impl StoreReaders {
-    /// Another host asks this one.
+    /// Records that another host asks this one.
     pub fn asked(&mut self, now: Ms) {
         self.asked = Some(now);
     }
 
-    /// Whether this host reads the store though another is named.
+    /// Whether this host reads the store although another one is the designated reader.
     pub fn reads(&self, now: Ms) -> bool {
-        let asked = self.asked.is_some_and(|at| now - at < ASKED);
-        asked || self.alone.is_some_and(|until| now < until)
+        let asked = self.asked.is_some_and(|at| now - at < READ_AFTER_ASKED);
+        asked || self.cut_off.is_some_and(|until| now < until)
     }
 
-    /// Whether a host may be named.
+    /// Whether a host may be the designated reader.
     pub fn fits(&self, now: Ms, host: &HostId) -> bool {
-        self.passed.get(host).is_none_or(|until| *until <= now)
+        self.skipped.get(host).is_none_or(|until| *until <= now)
     }
 
-    /// A host that was asked helped.
+    /// Records that a host that was asked could help.
     pub fn helped(&mut self) {
         self.unreachable = 0;
     }
 
-    /// A host that was asked, or this one itself, did not help.
+    /// Records that a host that was asked, or this host itself, could not help.
     pub fn failed(&mut self, now: Ms, host: &HostId, fault: ReaderFault) {
-        self.passed.retain(|_, until| *until > now);
-        self.passed.insert(host.clone(), now + PASS);
+        self.skipped.retain(|_, until| *until > now);
+        self.skipped.insert(host.clone(), now + SKIP_TIME);
         match fault {
             ReaderFault::Stale => self.unreachable = 0,
             ReaderFault::Unreachable => self.unreachable += 1,
         }
-        if self.unreachable >= UNREACHABLE {
+        if self.unreachable >= MAX_UNREACHABLE {
             self.unreachable = 0;
-            self.alone = Some(now + ALONE);
+            self.cut_off = Some(now + CUT_OFF_TIME);
         }
     }
 }
--- a/crates/sched/tests/placement.rs
+++ b/crates/sched/tests/placement.rs
@@ -72,14 +72,14 @@
 #[test]
 fn a_prompt_passes_an_engine_with_much_to_read() {
     let idle = ["a", "b", "c"].map(|name| candidate(name, Distance::Domain, 3));
-    let keeper = engine(&idle, 42, COPY).unwrap();
+    let owner = engine(&idle, 42, COPY).unwrap();
     let mut busy = idle.clone();
-    busy[keeper].wait = Ms(40);
-    assert_eq!(engine(&busy, 42, COPY), Some(keeper), "copying its memory takes longer");
-    busy[keeper].wait = Ms(400);
+    busy[owner].wait = Ms(40);
+    assert_eq!(engine(&busy, 42, COPY), Some(owner), "copying its memory takes longer");
+    busy[owner].wait = Ms(400);
     let other = engine(&busy, 42, COPY).unwrap();
-    assert_ne!(other, keeper);
-    busy[keeper].wait = Ms(40);
+    assert_ne!(other, owner);
+    busy[owner].wait = Ms(40);
     busy[other].cached = true;
     assert_eq!(engine(&busy, 42, COPY), Some(other), "it has read the subject and idles");
 }
