--- a/crates/sched/src/batch/ends.rs
+++ b/crates/sched/src/batch/ends.rs
@@ -1,8 +1,8 @@
-//! What follows from the end of a call.
+//! Handles the end of a call.
 
 use base::{Ms, TargetId};
 
-use super::{Batcher, CallEnd, CallId, Effect, PieceEnd, PieceId, SENDS};
+use super::{Batcher, CallEnd, CallId, Effect, MAX_ATTEMPTS, PieceEnd, PieceId};
 
 impl Batcher {
     pub(super) fn ended(&mut self, now: Ms, call: CallId, end: CallEnd, out: &mut Vec<Effect>) {
@@ -32,25 +32,25 @@
                 for (piece, end) in pieces.into_iter().zip(ends) {
                     match end {
                         Some(PieceEnd::Made(handle)) if sound => {
-                            self.made(now, id, piece, handle, out);
+                            self.complete(now, id, piece, handle, out);
                         }
                         Some(PieceEnd::Gone) if sound => self.finish(piece, PieceEnd::Gone, out),
                         Some(PieceEnd::Late) if sound => self.finish(piece, PieceEnd::Late, out),
-                        Some(PieceEnd::Room) if sound => self.again(now, piece, false, out),
-                        _ => self.again(now, piece, true, out),
+                        Some(PieceEnd::Room) if sound => self.requeue(now, piece, false, out),
+                        _ => self.requeue(now, piece, true, out),
                     }
                 }
             }
             CallEnd::Full | CallEnd::Deferred(_) | CallEnd::Moved | CallEnd::NoConnection => {
-                pieces.into_iter().for_each(|p| self.again(now, p, false, out));
+                pieces.into_iter().for_each(|p| self.requeue(now, p, false, out));
             }
             CallEnd::Broken | CallEnd::Silent => {
-                pieces.into_iter().for_each(|p| self.again(now, p, true, out));
+                pieces.into_iter().for_each(|p| self.requeue(now, p, true, out));
             }
         }
     }
 
-    pub(super) fn made(
+    pub(super) fn complete(
         &mut self,
         now: Ms,
         target: &TargetId,
@@ -59,7 +59,7 @@
         out: &mut Vec<Effect>,
     ) {
         let Some(waiting) = self.pieces.remove(&piece) else {
-            // Withdrawn, or made twice: nobody reads it.
+            // The piece was withdrawn or made twice: nobody reads this result.
             out.push(Effect::Free { target: target.clone(), handle });
             return;
         };
@@ -76,18 +76,19 @@
         }
     }
 
-    /// A call ended without this piece's result. `counts` says whether the target took the call.
-    pub(super) fn again(&mut self, now: Ms, piece: PieceId, counts: bool, out: &mut Vec<Effect>) {
+    /// Queues a piece again or ends it, after a call ended without its result. `counts` tells
+    /// whether the call counts as an attempt, because the target may have run it.
+    pub(super) fn requeue(&mut self, now: Ms, piece: PieceId, counts: bool, out: &mut Vec<Effect>) {
         let Some(waiting) = self.pieces.get_mut(&piece) else { return };
-        // Another call may have it under way, after this one was overdue.
+        // Another call may be making it, if this call was overdue.
         let elsewhere = self.calls.values().any(|(_, pieces)| pieces.contains(&piece));
         if waiting.queued || elsewhere {
             return;
         }
         if !counts {
-            waiting.sends -= 1;
+            waiting.attempts -= 1;
         }
-        if waiting.sends >= SENDS || (counts && !self.budget.take(now, &self.service)) {
+        if waiting.attempts >= MAX_ATTEMPTS || (counts && !self.budget.take(now, &self.service)) {
             self.finish(piece, PieceEnd::Failed, out);
             return;
         }
--- a/crates/sched/src/batch/fill.rs
+++ b/crates/sched/src/batch/fill.rs
@@ -1,4 +1,4 @@
-//! Which free target gets a call, and with which pieces.
+//! Chooses the free target that gets the next call, and its pieces.
 
 use base::{DomainId, Ms, TargetId};
 use std::collections::HashSet;
@@ -7,11 +7,11 @@
 use super::{Batcher, CALL_WEIGHT, CallId, Effect, Piece, PieceId, Waiting, order};
 
 impl Batcher {
-    /// Gives every target that is free, or about to be, a call.
+    /// Gives a call to every target that is free or about to be.
     ///
-    /// Of the targets of a region a piece goes to one in the failure domain where its inputs lie, as
-    /// long as one is free there: results that cross domains are paid by volume. No target idles
-    /// for it.
+    /// Among the targets of a region, a piece goes to one in the failure domain of its inputs as
+    /// long as one is free there, because results that cross domains are paid for by volume. No
+    /// target is left idle for this.
     pub(super) fn fill(&mut self, now: Ms, out: &mut Vec<Effect>) {
         let mut passed = HashSet::new();
         while self.pieces.values().any(|w| w.queued) {
@@ -25,7 +25,7 @@
         }
     }
 
-    /// Failure domains in which other targets than `id` would take a call now.
+    /// Failure domains in which targets other than `id` would take a call now.
     pub(super) fn free_domains(
         &self,
         now: Ms,
@@ -48,15 +48,16 @@
         let soonest = self.targets.values().filter(|t| t.usable(now) && !t.slow(best));
         let soonest = soonest.map(|t| t.free_at(now)).min();
         let normal = self.config.full();
-        let worth = |t: &Target| match soonest {
-            // A slow target is left alone while a normal one would end the same call sooner.
+        let worthwhile = |t: &Target| match soonest {
+            // A slow target gets nothing while a normal one would end the same call sooner, except
+            // for probes.
             Some(free) if t.slow(best) => {
                 t.probe_due(now) || free + normal > now + t.scaled(normal)
             }
             _ => true,
         };
         let takes =
-            |id: &TargetId, t: &Target| self.takes(now, t) && worth(t) && !passed.contains(id);
+            |id: &TargetId, t: &Target| self.takes(now, t) && worthwhile(t) && !passed.contains(id);
         let free = self.targets.iter().filter(|(id, t)| takes(id, t));
         free.min_by(|(_, a), (_, b)| {
             a.rank(now).partial_cmp(&b.rank(now)).unwrap_or(std::cmp::Ordering::Equal)
@@ -64,7 +65,8 @@
         .map(|(id, _)| id.clone())
     }
 
-    /// The pieces of the next call to a target, without those that a free one of `others` is for.
+    /// The pieces of the next call to a target, without those that go to a free target in one of
+    /// the failure domains `others`.
     pub(super) fn choose(
         &self,
         now: Ms,
@@ -107,7 +109,7 @@
         for piece in &ids {
             let Some(waiting) = self.pieces.get_mut(piece) else { continue };
             waiting.queued = false;
-            waiting.sends += 1;
+            waiting.attempts += 1;
             pieces.push(waiting.piece.clone());
         }
         let bytes: u64 = pieces.iter().map(|p: &Piece| p.bytes).sum();
--- a/crates/sched/src/batch/late.rs
+++ b/crates/sched/src/batch/late.rs
@@ -1,43 +1,45 @@
-//! Late pieces that still have a chance of a call.
+//! Finds the late pieces that no longer have a chance to get into a call.
 //!
-//! Load: arrivals beyond what a service's targets can do, for longer than an aim. Pieces that are
-//! late go after all that can be on time, so they get what is left, and that may be nothing. Left
-//! to wait for their deadlines, callers hear ten seconds later what was known after one, and the
-//! results that late pieces read lie at other targets and take the room of calls that are on time.
+//! When more work arrives than the targets of a service can do, for longer than a request's latency
+//! aim, late pieces go after all pieces that can be on time. They get what is left, which may be
+//! nothing. If they waited until they expire, callers would hear after ten seconds what was known
+//! after one. Meanwhile the inputs of these pieces would take up room at other targets that calls
+//! on time need.
 
 use base::Ms;
 use std::collections::VecDeque;
 
-/// Full calls of one target over which the rate of late pieces is taken, so that calls of two
-/// requests and of three average out.
-const WINDOW: u64 = 4;
-/// Full calls for which late pieces wait before any is given up. A short peak is over then.
-const TRIAL: u64 = 2;
+/// Window over which the rate of late pieces is measured, in full calls of one target: long enough
+/// to average over calls that hold two or three requests.
+const WINDOW_CALLS: u64 = 4;
+/// Time in full calls for which late pieces wait before any is given up. Short peaks are over by
+/// then.
+const GRACE_CALLS: u64 = 2;
 
-/// Pieces of one request that are late and wait for a call.
+/// Late pieces of one request that wait for a call.
 pub(super) struct Late<K> {
     pub(super) key: K,
     pub(super) pieces: usize,
-    /// When they are of no use any more.
+    /// When they expire.
     pub(super) expires: Ms,
 }
 
-/// How fast late pieces get into calls while some wait.
+/// Measures how fast late pieces get into calls while some are waiting.
 #[derive(Debug, Default)]
 pub(super) struct LateQueue {
-    /// Since when some have waited at each moment.
+    /// Since when there have been late pieces at all times.
     since: Option<Ms>,
     taken: VecDeque<(Ms, usize)>,
 }
 
 impl LateQueue {
-    /// So many late pieces went into a call.
+    /// Records that a call took `pieces` late pieces.
     pub(super) fn record(&mut self, now: Ms, pieces: usize) {
         self.taken.push_back((now, pieces));
     }
 
-    /// Requests without a chance, of those that wait, in the order in which they would be taken.
-    /// `call` is the time of a full call.
+    /// Keys of the waiting requests that have no chance. They are passed in the order in which they
+    /// would get into a call. `call` is the duration of a full call.
     pub(super) fn hopeless<K>(
         &mut self,
         now: Ms,
@@ -51,12 +53,12 @@
             return Vec::new();
         }
         let since = *self.since.get_or_insert(now);
-        let window = Ms(call.0 * WINDOW);
+        let window = Ms(call.0 * WINDOW_CALLS);
         let span = (now - since).min(window);
         while self.taken.front().is_some_and(|(at, _)| *at + window < now) {
             self.taken.pop_front();
         }
-        if span < Ms(call.0 * TRIAL) {
+        if span < Ms(call.0 * GRACE_CALLS) {
             return Vec::new();
         }
         let taken: usize = self.taken.iter().map(|(_, pieces)| pieces).sum();
--- a/crates/sched/src/batch/mod.rs
+++ b/crates/sched/src/batch/mod.rs
@@ -1,24 +1,26 @@
-//! *Batch*: which pieces of stages go to which target, in which call.
+//! Decides which pieces of stages go to which target, and in which call.
 //!
-//! Answers: stage targets with one place each and a fixed time a call that dwarfs the time a
-//! piece. Without it every request makes a call of its own, and targets are full at a third of
-//! the load that they could carry with full calls. One host composes all calls of a service in a
-//! region, so that calls fill however many hosts the pieces come from.
+//! A stage target has one slot, and the fixed time of a call is far longer than the time for each
+//! piece. If every request made a call of its own, targets would be saturated at a third of the
+//! load that they can carry with full calls. So one host composes all calls of a service in a
+//! region, and calls fill up no matter how many hosts the pieces come from.
 //!
-//! A target that is free gets a call at once, with what is there: calls fill by themselves when
-//! targets are busy, and nobody waits for a fuller call while a target idles. What goes first:
+//! A free target gets a call at once, with the pieces that are waiting. Calls fill up by themselves
+//! while targets are busy, and nobody waits for a fuller call while a target is idle. Pieces are
+//! taken in this order:
 //!
-//! 1. pieces at their last chance to meet the caller's deadline, at most [`LAST_SHARE`] percent of a call,
-//!    so that a long overload can't turn all service into late service;
-//! 2. pieces whose stage can still end in time for the aim, by rank and then by due time;
-//! 3. pieces that will be late anyway, in the room that is left.
+//! 1. pieces with a last chance to meet the caller's deadline, at most [`LAST_SHARE`] percent of a
+//!    call, so that during a long overload not every request is served late;
+//! 2. pieces whose stage can still end in time for the latency aim, by rank and then by due time;
+//! 3. pieces that will be late anyway, in the remaining room.
 //!
-//! Late pieces that won't get a call while they are of use are ended at once: see `late`.
+//! Late pieces that won't get into a call before they expire are ended at once: see `late`.
 //!
-//! Without 2 before 3, order by due time alone serves each request just too late under overload.
+//! If class 2 did not go before class 3, ordering by due time alone would serve each request just
+//! too late under overload.
 //!
-//! Pieces may be made again, so nothing rests on two hosts agreeing who composes: they lose
-//! fullness, and at times inputs that are made again.
+//! Pieces may be made more than once, so nothing depends on the hosts agreeing about which one
+//! composes. Two composers only cause emptier calls and now and then inputs that are made again.
 
 mod ends;
 mod fill;
@@ -29,7 +31,7 @@
 mod types;
 
 pub use order::LAST_SHARE;
-pub use target::{OVERDUE, OVERDUE_SLACK};
+pub use target::{OVERDUE_FACTOR, OVERDUE_SLACK};
 pub use types::{CallEnd, CallId, Effect, Event, Piece, PieceEnd, PieceId, Source, TargetInfo};
 
 use base::{DomainId, Ms, PoolId, TargetId};
@@ -40,19 +42,19 @@
 use late::{Late, LateQueue};
 use target::Target;
 
-/// Sends of one piece at most: the first, and two more when targets crash under it.
-const SENDS: u32 = 3;
+/// Largest number of attempts to make one piece: the first one, and two more if targets crash.
+const MAX_ATTEMPTS: u32 = 3;
 
-/// Bytes of results read from which a piece waits for its own failure domain.
-const MUCH_READ: u64 = 100_000;
-/// Weight of a new call in what is learned of calls: a few of them, about a second.
+/// Size of the inputs from which on a piece waits for a target in its own failure domain, bytes.
+const LARGE_READ_BYTES: u64 = 100_000;
+/// Weight of a new call in the moving averages: about the last few calls count, that is a second.
 const CALL_WEIGHT: f64 = 0.2;
 
 struct Waiting {
     piece: Piece,
     since: Ms,
-    sends: u32,
-    /// Whether it waits for a call, or only for the end of one.
+    attempts: u32,
+    /// Whether it waits to get into a call. If not, it waits for the end of one.
     queued: bool,
 }
 
@@ -65,15 +67,16 @@
     pieces: HashMap<PieceId, Waiting>,
     calls: HashMap<CallId, (TargetId, Vec<PieceId>)>,
     next: u64,
-    /// Pieces in a call while more wait, learned: room and whole requests leave places empty.
+    /// Average number of pieces in a call while more are waiting. Calls may not be full because of
+    /// lack of room, and because the pieces of a request are kept together.
     fill: f64,
-    /// Bytes of a call's results, learned; none before the first call.
+    /// Average size of the results of a call, bytes; none before the first call.
     bytes: Option<f64>,
     late: LateQueue,
 }
 
 impl Batcher {
-    /// No targets yet.
+    /// A batcher without targets.
     pub fn new(service: PoolId, config: Batch, allowance: Allowance) -> Self {
         Self {
             fill: config.size as f64,
@@ -89,7 +92,7 @@
         }
     }
 
-    /// Takes one event and appends what is to be done.
+    /// Handles one event and appends the effects to `out`.
     pub fn reduce(&mut self, now: Ms, event: Event, out: &mut Vec<Effect>) {
         match event {
             Event::Submit(pieces) => self.submit(now, pieces, out),
@@ -117,20 +120,20 @@
         self.reclaim(now, out);
     }
 
-    /// When a tick is needed; none while nothing waits.
+    /// When the next tick is needed; none if nothing is pending.
     pub fn wake(&self, now: Ms) -> Option<Ms> {
         let calls = self.targets.values().flat_map(|t| t.wakes(now));
         let queued = self.pieces.values().filter(|w| w.queued);
         calls.chain(queued.map(|w| w.piece.expires)).filter(|at| *at > now).min()
     }
 
-    /// Time until a piece that is handed in now would get into a call, ms; none without a target.
+    /// Time until a piece that is submitted now would get into a call; none without a target.
     pub fn wait(&self, now: Ms) -> Option<Ms> {
         self.wait_behind(now, self.queued())
     }
 
     fn wait_behind(&self, now: Ms, ahead: usize) -> Option<Ms> {
-        // Targets that only some pieces may use say nothing of how long others wait.
+        // Reserved targets take only some pieces, so they don't shorten the wait of others.
         let common = self.targets.values().filter(|t| t.usable(now) && !t.reserved);
         let mut free: Vec<Ms> = common.map(|t| t.free_at(now)).collect();
         let full = self.config.time(self.fill as usize);
@@ -141,10 +144,11 @@
         free.iter().min().map(|at| *at - now)
     }
 
-    /// Time until a piece that is handed in now would get into a call, ms.
+    /// Time until this piece would get into a call if it were submitted now.
     fn wait_of(&self, now: Ms, piece: &Piece) -> Option<Ms> {
         let late = self.is_late(now, piece);
-        // Late pieces, of which a long overload gathers many, don't go before one that is on time.
+        // A piece that is on time doesn't wait behind late pieces, which pile up during a long
+        // overload.
         let before = |w: &&Waiting| {
             w.queued && w.piece.rank <= piece.rank && (late || !self.is_late(now, &w.piece))
         };
@@ -156,14 +160,14 @@
         piece.due < now + self.config.time(1)
     }
 
-    /// Ends late pieces that won't get into a call while they are of use.
+    /// Ends late pieces that won't get into a call before they expire.
     fn give_up_late(&mut self, now: Ms, out: &mut Vec<Effect>) {
         let mut waiting: BTreeMap<_, Late<Vec<PieceId>>> = BTreeMap::new();
-        let waits = |w: &Waiting| w.queued && w.sends == 0 && self.is_late(now, &w.piece);
+        let waits = |w: &Waiting| w.queued && w.attempts == 0 && self.is_late(now, &w.piece);
         for (id, w) in self.pieces.iter().filter(|(_, w)| waits(w)) {
             let piece = &w.piece;
-            let place = (piece.rank, w.since, piece.request.clone(), piece.stage);
-            let late = waiting.entry(place).or_insert(Late {
+            let key = (piece.rank, w.since, piece.request.clone(), piece.stage);
+            let late = waiting.entry(key).or_insert(Late {
                 key: Vec::new(),
                 pieces: 0,
                 expires: piece.expires,
@@ -175,7 +179,7 @@
         hopeless.into_iter().flatten().for_each(|id| self.finish(id, PieceEnd::Late, out));
     }
 
-    /// Gives up results that were read where the next call would not find room beside them.
+    /// Deletes results that were read where the next call would not find enough room.
     fn reclaim(&mut self, now: Ms, out: &mut Vec<Effect>) {
         let waiting = self.pieces.values().filter(|w| w.queued).take(self.config.size);
         let waiting: u64 = waiting.map(|w| w.piece.bytes).sum();
@@ -187,12 +191,12 @@
         }
     }
 
-    /// Bytes of results at a target, those of calls under way included.
+    /// Size of the results at a target, including those of calls in flight, bytes.
     pub fn kept(&self, now: Ms, target: &TargetId) -> u64 {
         self.targets.get(target).map_or(0, |t| t.kept(now))
     }
 
-    /// Pieces that wait for a call.
+    /// Number of pieces that wait for a call.
     pub fn queued(&self) -> usize {
         self.pieces.values().filter(|w| w.queued).count()
     }
@@ -207,12 +211,12 @@
                 out.push(Effect::End { piece: id, end: PieceEnd::Outside, target: None });
                 continue;
             }
-            // Known to be hopeless: it isn't kept waiting.
+            // The piece can't be made before it expires, so it is refused at once.
             if self.wait_of(now, &piece).is_some_and(|wait| now + wait > piece.expires) {
                 out.push(Effect::End { piece: id, end: PieceEnd::Late, target: None });
                 continue;
             }
-            self.pieces.insert(id, Waiting { piece, since: now, sends: 0, queued: true });
+            self.pieces.insert(id, Waiting { piece, since: now, attempts: 0, queued: true });
         }
     }
 
@@ -220,7 +224,7 @@
         for (id, target) in &mut self.targets {
             target.live = infos.iter().any(|p| p.id == *id && p.born == target.born);
         }
-        // A target that is leaving stays until its calls have ended.
+        // A target that is leaving is kept until its calls have ended.
         self.targets.retain(|_, t| t.live || t.busy());
         for info in infos {
             match self.targets.get(&info.id) {
@@ -228,17 +232,18 @@
                 _ => drop(self.targets.insert(info.id.clone(), Target::new(info))),
             }
         }
-        // The last target that they were allowed at is gone: they aren't kept waiting.
+        // Pieces whose last permitted target is gone are ended at once.
         let outside =
             |(id, w): (&PieceId, &Waiting)| (w.queued && self.outside(&w.piece)).then_some(*id);
         let outside: Vec<PieceId> = self.pieces.iter().filter_map(outside).collect();
         outside.into_iter().for_each(|id| self.finish(id, PieceEnd::Outside, out));
     }
 
-    /// Whether a piece that reads much waits for the next call of its own failure domain, in which
-    /// it is still in time: the time that it has left would buy nothing, the bytes are paid for.
+    /// Whether a piece with large inputs waits for the next call in its own failure domain, because
+    /// it will still be on time there. Being earlier has no value, while bytes across domains are
+    /// paid for.
     fn waits_for(&self, now: Ms, home: &DomainId, piece: &Piece) -> bool {
-        if piece.reads < MUCH_READ {
+        if piece.reads < LARGE_READ_BYTES {
             return false;
         }
         let near = self.targets.values().filter(|t| t.domain == *home && t.usable(now));
@@ -247,21 +252,22 @@
         end.is_some_and(|end| end <= piece.due)
     }
 
-    /// Whether no target is in a region that a piece's request may be in, though there are targets.
+    /// Whether there are targets, but none in a region in which the piece's request may be
+    /// processed.
     fn outside(&self, piece: &Piece) -> bool {
         let mut live = self.targets.values().filter(|t| t.live).peekable();
         live.peek().is_some() && live.all(|t| !t.allows(piece))
     }
 
-    /// Pieces of calls that take far too long are queued again, once: their target may be slow,
-    /// or gone without a word.
+    /// Queues the pieces of overdue calls again, once: their target may be slow, or gone without
+    /// closing the connection.
     fn overdue(&mut self, now: Ms) {
         for target in self.targets.values_mut() {
             for call in target.overdue(now) {
                 let Some((_, pieces)) = self.calls.get(&call) else { continue };
                 for piece in pieces {
                     let Some(waiting) = self.pieces.get_mut(piece) else { continue };
-                    if waiting.sends == 1 && self.budget.take(now, &self.service) {
+                    if waiting.attempts == 1 && self.budget.take(now, &self.service) {
                         waiting.queued = true;
                     }
                 }
--- a/crates/sched/src/batch/order.rs
+++ b/crates/sched/src/batch/order.rs
@@ -1,29 +1,30 @@
-//! Which queued pieces go into a call.
+//! Chooses the queued pieces that go into a call.
 
 use base::Ms;
 use catalog::Batch;
 
 use super::{Piece, PieceId};
 
-/// Part of a call that pieces at their last chance may fill, percent.
+/// Part of a call that pieces with a last chance may fill, percent.
 pub const LAST_SHARE: usize = 25;
 /// A piece that waits for a call.
 pub(super) struct Queued<'a> {
     pub(super) id: PieceId,
     pub(super) piece: &'a Piece,
     pub(super) since: Ms,
-    /// Whether the target is in another failure domain than the piece should be made in.
+    /// Whether the piece should be made in another failure domain than the target's.
     pub(super) far: bool,
 }
 
 #[derive(Clone, Copy, PartialEq, Eq, PartialOrd, Ord)]
-enum Band {
-    Last,
+enum Class {
+    LastChance,
     OnTime,
     Late,
 }
 
-/// Pieces whose results fit into `room` bytes, for a call that ends at `end` and takes `call`.
+/// Chooses pieces whose results fit into `room` bytes, for a call that takes `call` and ends at
+/// `end`.
 pub(super) fn choose(
     mut queued: Vec<Queued<'_>>,
     now: Ms,
@@ -33,39 +34,39 @@
     room: u64,
 ) -> Vec<PieceId> {
     let size = config.size;
-    let band = |q: &Queued<'_>| match q.piece {
-        piece if piece.due >= end => Band::OnTime,
-        // The next call would end too late for the caller's own deadline.
-        piece if now + call + call >= piece.expires => Band::Last,
-        _ => Band::Late,
+    let class = |q: &Queued<'_>| match q.piece {
+        piece if piece.due >= end => Class::OnTime,
+        // The next call would end after the caller's deadline.
+        piece if now + call + call >= piece.expires => Class::LastChance,
+        _ => Class::Late,
     };
     let key = |q: &Queued<'_>| {
-        let band = band(q);
-        let (rank, time) = match band {
-            Band::Last => (0, q.piece.expires),
-            // What is nearer another target waits for it, for a call at most.
-            Band::OnTime if q.far => (q.piece.rank, q.piece.due + call),
-            Band::OnTime => (q.piece.rank, q.piece.due),
-            Band::Late if q.far => (q.piece.rank, q.since + call),
-            Band::Late => (q.piece.rank, q.since),
+        let class = class(q);
+        let (rank, time) = match class {
+            Class::LastChance => (0, q.piece.expires),
+            // A piece of another domain yields to the others, for the duration of a call at most.
+            Class::OnTime if q.far => (q.piece.rank, q.piece.due + call),
+            Class::OnTime => (q.piece.rank, q.piece.due),
+            Class::Late if q.far => (q.piece.rank, q.since + call),
+            Class::Late => (q.piece.rank, q.since),
         };
-        // Pieces of one request stay together: a part of them is of no use.
-        (band, rank, time, q.piece.request.clone(), q.piece.index)
+        // Pieces of one request stay together, because a part of them is of no use.
+        (class, rank, time, q.piece.request.clone(), q.piece.index)
     };
     queued.sort_by_cached_key(key);
-    let mut call = Call { size, room, all_room: config.room, out: Vec::new(), used: 0 };
-    let most_last = (size * LAST_SHARE / 100).max(1);
-    let mut held = Vec::new();
-    // Pieces of one request stand together after sorting.
+    let mut call = Call { size, room, total_room: config.room, out: Vec::new(), used: 0 };
+    let max_last = (size * LAST_SHARE / 100).max(1);
+    let mut deferred = Vec::new();
+    // After sorting, the pieces of one request are adjacent.
     for request in queued.chunk_by(|a, b| a.piece.request == b.piece.request) {
-        let last = band(&request[0]) == Band::Last;
-        match last && call.out.len() + request.len() > most_last {
-            true => held.push(request),
+        let last = class(&request[0]) == Class::LastChance;
+        match last && call.out.len() + request.len() > max_last {
+            true => deferred.push(request),
             false => call.take(request),
         }
     }
-    // Places that nobody else wants go to the rest of the last chances.
-    held.into_iter().for_each(|request| call.take(request));
+    // Free places in the call go to the remaining pieces with a last chance.
+    deferred.into_iter().for_each(|request| call.take(request));
     call.out
 }
 
@@ -73,19 +74,20 @@
 struct Call {
     size: usize,
     room: u64,
-    all_room: u64,
+    total_room: u64,
     out: Vec<PieceId>,
     used: u64,
 }
 
 impl Call {
-    /// Takes a request's pieces if they all fit, so that they are made together: results of a part
-    /// lie at their target until the rest is made elsewhere, and nobody can use them. One with
-    /// more pieces than a call has places, or a target has room for, begins an empty call.
+    /// Takes the pieces of a request if all of them fit, so that they are made together. If only a
+    /// part were made, its results would take up room at the target until the rest was made
+    /// elsewhere, and nobody could use them. A request that is larger than a call or than a
+    /// target's room may fill an empty call with a part of its pieces.
     fn take(&mut self, request: &[Queued<'_>]) {
         let bytes: u64 = request.iter().map(|q| q.piece.bytes).sum();
         let fits = self.out.len() + request.len() <= self.size && self.used + bytes <= self.room;
-        let larger = request.len() > self.size || bytes > self.all_room;
+        let larger = request.len() > self.size || bytes > self.total_room;
         let begins = larger && self.out.is_empty();
         if !fits && !begins {
             return;
--- a/crates/sched/src/batch/target.rs
+++ b/crates/sched/src/batch/target.rs
@@ -1,4 +1,4 @@
-//! One stage target as its composer sees it.
+//! The state of one stage target, as known to the composer.
 
 use base::{DomainId, Ms, RegionId};
 
@@ -7,47 +7,50 @@
 use super::room::Room;
 use super::{CallEnd, CallId, Piece, PieceEnd, TargetInfo};
 
-/// A call is overdue at this multiple of its expected time, plus [`OVERDUE_SLACK`]: pieces of one
-/// service differ by up to three times, and a slow target takes four to eight times as long.
-pub const OVERDUE: (u64, u64) = (2, 1);
-/// See [`OVERDUE`]; a lost packet is sent again after about 200 ms.
+/// A call is overdue after this multiple of its expected duration plus [`OVERDUE_SLACK`]. Pieces of
+/// one service differ by a factor of up to three, and a slow target takes four to eight times as
+/// long as usual.
+pub const OVERDUE_FACTOR: (u64, u64) = (2, 1);
+/// See [`OVERDUE_FACTOR`]. A lost packet is sent again after about 200 ms.
 pub const OVERDUE_SLACK: Ms = Ms(250);
-/// A call is given up at this multiple of its expected time: a target eight times slower still
-/// ends it.
-const GIVE_UP: (u64, u64) = (9, 1);
-/// How long before a call's expected end the next one is sent, so that the target never idles: the
-/// way there and back within a region, and the time to read the call.
+/// A call is given up after this multiple of its expected duration, so that a target that is eight
+/// times slower can still end it.
+const TIMEOUT_FACTOR: (u64, u64) = (9, 1);
+/// How long before the expected end of a call the next one is sent, so that the target is never
+/// idle: the round trip within a region, and the time to read the call.
 const LEAD: Ms = Ms(8);
-/// Weight of a new call in the target's speed: two slow calls in a row are believed.
+/// Weight of a new call in the target's speed. At this weight, two slow calls in a row mark it as
+/// slow.
 const SPEED_WEIGHT: f64 = 0.5;
-/// How many times slower than the best a target is called slow; sizes of pieces explain less.
-const SLOW: f64 = 2.0;
-/// A slow target gets a call this often, ms, to see whether it has recovered.
-const PROBE: Ms = Ms(1_500);
-/// Pause after a call that could not be made, ms; doubled each time in a row.
-const PAUSE: Ms = Ms(250);
-/// Longest such pause, ms.
-const PAUSE_MOST: Ms = Ms(2_000);
-/// Pause after the target said that it is full, ms: another composer has a call there.
+/// A target is slow if it takes more than this many times as long as the best one. Differences in
+/// the size of pieces explain less than that.
+const SLOW_FACTOR: f64 = 2.0;
+/// Interval of the calls that a slow target gets to find out whether it has recovered.
+const PROBE_INTERVAL: Ms = Ms(1_500);
+/// Pause after a call that could not be made; doubled after each further one in a row.
+const FIRST_PAUSE: Ms = Ms(250);
+/// Longest such pause.
+const MAX_PAUSE: Ms = Ms(2_000);
+/// Pause after the target responded that it is full, because another composer has a call there.
 const FULL_PAUSE: Ms = Ms(60);
 
-/// Time for which a target that had no room is taken to be full beside the results that are known
-/// here, ms: others' results are those of a composer that has gone, and are given up or replaced
-/// in about this time.
-const FOREIGN: Ms = Ms(800);
+/// Time for which a target that had no room is assumed to hold results of others that fill the rest
+/// of its room. They were made for a composer that is gone, and are deleted or replaced within
+/// about this time.
+const FOREIGN_TIME: Ms = Ms(800);
 
 #[derive(Debug)]
-struct Open {
+struct OpenCall {
     call: CallId,
     since: Ms,
     expected: Ms,
     time: Ms,
-    /// Room that its results take from its turn on, bytes.
+    /// Room for its results, in use from the start of the call on, bytes.
     bytes: u64,
-    hedged: bool,
+    requeued: bool,
 }
 
-/// A target.
+/// A target of the service.
 #[derive(Debug)]
 pub(super) struct Target {
     pub(super) born: u64,
@@ -55,14 +58,14 @@
     region: Option<RegionId>,
     pub(super) reserved: bool,
     pub(super) live: bool,
-    open: Vec<Open>,
+    open: Vec<OpenCall>,
     speed: f64,
-    pause: Ms,
-    /// When it had no room last though there should have been some: results of others lie there.
-    foreign: Option<Ms>,
-    others: u64,
+    paused_until: Ms,
+    /// When it last had no room although it should have: others' results take up room there.
+    foreign_since: Option<Ms>,
+    foreign_bytes: u64,
     failures: u32,
-    last: Ms,
+    last_call: Ms,
     pub(super) room: Room,
 }
 
@@ -76,11 +79,11 @@
             live: true,
             open: Vec::new(),
             speed: 1.0,
-            pause: Ms::ZERO,
-            foreign: None,
-            others: 0,
+            paused_until: Ms::ZERO,
+            foreign_since: None,
+            foreign_bytes: 0,
             failures: 0,
-            last: Ms::ZERO,
+            last_call: Ms::ZERO,
             room: Room::default(),
         }
     }
@@ -96,10 +99,10 @@
     }
 
     pub(super) fn usable(&self, now: Ms) -> bool {
-        self.live && self.pause <= now
+        self.live && self.paused_until <= now
     }
 
-    /// Whether a call sent now starts at once, or right after the one under way.
+    /// Whether a call that is sent now starts at once, or right after the one that is running.
     pub(super) fn accepts(&self, now: Ms, slots: u32) -> bool {
         let working = self.open.iter().filter(|o| o.expected > now + LEAD).count();
         working < slots.max(1) as usize && self.open.len() <= slots.max(1) as usize
@@ -114,29 +117,30 @@
     }
 
     pub(super) fn slow(&self, best: f64) -> bool {
-        self.speed > SLOW * best
+        self.speed > SLOW_FACTOR * best
     }
 
     pub(super) fn probe_due(&self, now: Ms) -> bool {
-        now - self.last >= PROBE
+        now - self.last_call >= PROBE_INTERVAL
     }
 
     pub(super) fn scaled(&self, time: Ms) -> Ms {
         Ms((time.0 as f64 * self.speed.max(1.0)) as u64)
     }
 
-    /// Which free target goes first: the faster, then the one that idles longest.
+    /// Order of the free targets: those that are free first, then the faster ones, then those that
+    /// got no call for the longest time.
     pub(super) fn rank(&self, now: Ms) -> (Ms, f64, Ms) {
-        (self.free_at(now), self.speed, self.last)
+        (self.free_at(now), self.speed, self.last_call)
     }
 
-    /// A call begins. Gives when to give it up, ms from now.
+    /// Records that a call begins. Returns the time after which to give it up.
     pub(super) fn begin(&mut self, now: Ms, call: CallId, time: Ms, bytes: u64) -> Ms {
         let expected = self.free_at(now) + self.scaled(time);
-        self.last = now;
-        self.open.push(Open { call, since: now, expected, time, bytes, hedged: false });
+        self.last_call = now;
+        self.open.push(OpenCall { call, since: now, expected, time, bytes, requeued: false });
         let ahead = self.free_at(now) - now;
-        ahead + time.scale(GIVE_UP.0, GIVE_UP.1)
+        ahead + time.scale(TIMEOUT_FACTOR.0, TIMEOUT_FACTOR.1)
     }
 
     pub(super) fn ended(&mut self, now: Ms, call: CallId, end: &CallEnd) {
@@ -145,7 +149,7 @@
             CallEnd::Done(ends) => {
                 self.failures = 0;
                 if ends.contains(&PieceEnd::Room) {
-                    self.foreign = Some(now);
+                    self.foreign_since = Some(now);
                 }
                 let Some(open) = open else { return };
                 if ends.iter().all(|end| *end == PieceEnd::Room) {
@@ -154,44 +158,44 @@
                 let took = (now - open.since).0 as f64 / open.time.0.max(1) as f64;
                 self.speed += SPEED_WEIGHT * (took - self.speed);
             }
-            CallEnd::Full => self.pause = now + FULL_PAUSE,
-            CallEnd::Deferred(rest) => self.pause = now + (*rest).min(PAUSE_MOST),
+            CallEnd::Full => self.paused_until = now + FULL_PAUSE,
+            CallEnd::Deferred(rest) => self.paused_until = now + (*rest).min(MAX_PAUSE),
             CallEnd::Moved | CallEnd::NoConnection | CallEnd::Broken | CallEnd::Silent => {
-                let span = PAUSE.scale(1 << self.failures.min(8), 1).min(PAUSE_MOST);
+                let span = FIRST_PAUSE.scale(1 << self.failures.min(8), 1).min(MAX_PAUSE);
                 self.failures += 1;
-                self.pause = now + span;
+                self.paused_until = now + span;
             }
         }
     }
 
     /// Calls that have just become overdue.
     pub(super) fn overdue(&mut self, now: Ms) -> Vec<CallId> {
-        let late = |o: &&mut Open| !o.hedged && Self::overdue_at(o) <= now;
+        let late = |o: &&mut OpenCall| !o.requeued && Self::overdue_at(o) <= now;
         let mut out = Vec::new();
         for open in self.open.iter_mut().filter(late) {
-            open.hedged = true;
+            open.requeued = true;
             out.push(open.call);
         }
         if !out.is_empty() {
-            // What is known of its speed is from before it stopped answering.
-            self.speed = self.speed.max(SLOW * OVERDUE.0 as f64);
+            // The learned speed dates from before the target stopped responding.
+            self.speed = self.speed.max(SLOW_FACTOR * OVERDUE_FACTOR.0 as f64);
         }
         out
     }
 
-    fn overdue_at(open: &Open) -> Ms {
+    fn overdue_at(open: &OpenCall) -> Ms {
         let base = open.expected - open.time;
-        base.max(open.since) + open.time.scale(OVERDUE.0, OVERDUE.1) + OVERDUE_SLACK
+        base.max(open.since) + open.time.scale(OVERDUE_FACTOR.0, OVERDUE_FACTOR.1) + OVERDUE_SLACK
     }
 
-    /// Times at which something about it changes.
+    /// The times at which something changes for this target.
     pub(super) fn wakes(&self, now: Ms) -> Vec<Ms> {
-        let mut out = vec![self.pause];
-        out.extend(self.foreign.map(|at| at + FOREIGN));
-        out.extend(self.room.lapse());
+        let mut out = vec![self.paused_until];
+        out.extend(self.foreign_since.map(|at| at + FOREIGN_TIME));
+        out.extend(self.room.next_expiry());
         for open in &self.open {
             out.push(open.expected - LEAD);
-            if !open.hedged {
+            if !open.requeued {
                 out.push(Self::overdue_at(open));
             }
         }
@@ -199,7 +203,7 @@
         out
     }
 
-    /// Learns from a call's end how far the declared room can be counted on.
+    /// Learns from the end of a call which part of the declared room is really available.
     pub(super) fn learn_room(&mut self, now: Ms, end: &CallEnd, room: u64) {
         let CallEnd::Done(ends) = end else { return };
         let found = !ends.contains(&PieceEnd::Room);
@@ -207,29 +211,29 @@
         self.room.learn(found, taken, room);
     }
 
-    /// Learns from a call that found no room that all but what is known is others'.
+    /// Records, after a call that found no room, that results of others take up the rest of it.
     pub(super) fn settle(&mut self, now: Ms, room: u64) {
-        if self.foreign == Some(now) {
-            self.others = 0;
-            self.others = room.saturating_sub(self.kept(now));
+        if self.foreign_since == Some(now) {
+            self.foreign_bytes = 0;
+            self.foreign_bytes = room.saturating_sub(self.kept(now));
         }
     }
 
-    /// Bytes of results there, those of calls under way included.
+    /// Size of the results at the target, including those of calls in flight, bytes.
     pub(super) fn kept(&self, now: Ms) -> u64 {
         self.room.taken(now) + self.claimed(now)
     }
 
-    /// Bytes that calls under way will take, and others' results.
+    /// Bytes that calls in flight will need, and those of others' results.
     fn claimed(&self, now: Ms) -> u64 {
-        let others = match self.foreign {
-            Some(at) if now - at < FOREIGN => self.others,
+        let foreign_bytes = match self.foreign_since {
+            Some(at) if now - at < FOREIGN_TIME => self.foreign_bytes,
             _ => 0,
         };
-        self.open.iter().map(|o| o.bytes).sum::<u64>() + others
+        self.open.iter().map(|o| o.bytes).sum::<u64>() + foreign_bytes
     }
 
-    /// Results that were read and must go, for a call of `next` bytes to find room.
+    /// Results that were read and have to be deleted for a call of `next` bytes to find room.
     pub(super) fn reclaim(&mut self, now: Ms, room: u64, next: u64) -> Vec<String> {
         let calls = self.claimed(now) + next;
         self.room.reclaim(now, room, calls)
--- a/crates/sched/src/batch/types.rs
+++ b/crates/sched/src/batch/types.rs
@@ -1,10 +1,10 @@
-//! What a batcher is told, and what it asks for.
+//! Events that a batcher takes, and the effects that it asks for.
 
 use base::{DomainId, Ms, RegionId, TargetId};
 use catalog::{Batch, Residency};
 use std::sync::Arc;
 
-/// A piece at this batcher.
+/// A piece, as numbered by this batcher.
 #[derive(Clone, Copy, Debug, PartialEq, Eq, PartialOrd, Ord, Hash)]
 pub struct PieceId(pub u64);
 
@@ -12,145 +12,146 @@
 #[derive(Clone, Copy, Debug, PartialEq, Eq, PartialOrd, Ord, Hash)]
 pub struct CallId(pub u64);
 
-/// What a piece is made from.
+/// The input of a piece.
 #[derive(Clone, Debug, PartialEq, Eq)]
 pub enum Source {
-    /// The caller's key: the stage reads no other.
+    /// The caller's key: the stage reads no other stage.
     Key(Arc<str>),
-    /// Handles of all pieces of the stages that it reads.
+    /// Handles of all pieces of the stages that this one reads.
     Inputs(Arc<[String]>),
 }
 
 /// One piece of a stage.
 #[derive(Clone, Debug)]
 pub struct Piece {
-    /// The caller's attempt.
+    /// The attempt of the caller's request that the piece belongs to.
     pub request: Arc<str>,
     /// Index of the stage in its route.
     pub stage: u32,
     /// Index of the piece in its stage.
     pub index: u32,
-    /// What it is made from.
+    /// Its input.
     pub source: Source,
     /// When it should be made for the request to be on time.
     pub due: Ms,
-    /// When it is of no use any more.
+    /// When its result becomes useless.
     pub expires: Ms,
-    /// Rank of the request; 0 is the most urgent.
+    /// Priority class of the request; 0 is the most urgent.
     pub rank: u8,
     /// Approximate size of its result, bytes.
     pub bytes: u64,
-    /// Bytes of results that it reads.
+    /// Size of the results that it reads, bytes.
     pub reads: u64,
     /// Failure domain in which it should be made; none for any.
     pub home: Option<DomainId>,
-    /// Regions that its request may be in.
+    /// Regions in which its request may be processed.
     pub residency: Residency,
 }
 
 /// How a piece ended.
 #[derive(Clone, Debug, PartialEq, Eq)]
 pub enum PieceEnd {
-    /// It lies at a target under this handle.
+    /// The result is stored at a target under this handle.
     Made(String),
-    /// Its time ran out.
+    /// It expired.
     Late,
-    /// One of its inputs is gone.
+    /// One of its inputs no longer exists.
     Gone,
     /// No target has room for its result.
     Room,
     /// The targets failed.
     Failed,
-    /// No target is in a region that its request may be in.
+    /// No target is in a region in which its request may be processed.
     Outside,
 }
 
 /// How a call ended.
 #[derive(Clone, Debug, PartialEq)]
 pub enum CallEnd {
-    /// Ends of its pieces, in their order.
+    /// How its pieces ended, in their order.
     Done(Vec<PieceEnd>),
-    /// The target had no place and did nothing.
+    /// The target had no free slot and did nothing.
     Full,
-    /// It was not sent: the target takes no call from this host for so long.
+    /// It was not sent: the target takes no call from this host for this time.
     Deferred(Ms),
-    /// The target's address belongs to another now.
+    /// The target's address now belongs to another target.
     Moved,
-    /// No connection.
+    /// No connection could be made.
     NoConnection,
-    /// The connection broke, or the answer made no sense.
+    /// The connection broke, or the response was malformed.
     Broken,
-    /// Nothing came.
+    /// No response arrived in time.
     Silent,
 }
 
-/// A target of the service, as the registry has it.
+/// A target of the service, as registered.
 #[derive(Clone, Debug, PartialEq, Eq)]
 pub struct TargetInfo {
-    /// Its name.
+    /// Name of the target.
     pub id: TargetId,
-    /// When it started: another life under the same name has nothing of the earlier one.
+    /// When it started. An incarnation that started at another time has none of the earlier
+    /// results.
     pub born: u64,
-    /// Where it is.
+    /// Its failure domain.
     pub domain: DomainId,
-    /// The region of that; none when it isn't known.
+    /// The region of that domain; none if it is not known.
     pub region: Option<RegionId>,
-    /// Whether it is for pieces alone that may be made nowhere nearer: it is in a region where no
-    /// host is alive to compose its calls.
+    /// Whether it takes only pieces that may not be made anywhere nearer, because no host is alive
+    /// in its region to compose its calls.
     pub reserved: bool,
 }
 
-/// What happened.
+/// Input of the batcher.
 #[derive(Clone, Debug)]
 pub enum Event {
-    /// Pieces to make.
+    /// Makes these pieces.
     Submit(Vec<(PieceId, Piece)>),
-    /// Nobody wants these any more.
+    /// Drops these pieces: nobody waits for them any more.
     Withdraw(Vec<PieceId>),
     /// A call ended.
     Ended(CallId, CallEnd),
     /// The targets that take new work.
     Targets(Vec<TargetInfo>),
-    /// The service is declared so from now on.
+    /// The service is declared like this from now on.
     Config(Batch),
-    /// A result was read. It may be read once more, and lies on while there is room.
+    /// A result was read. It may be read once more, and is kept while there is room.
     Read(TargetId, String),
-    /// A result was given up; its room is free.
+    /// A result was deleted; its room is free.
     Freed(TargetId, String),
-    /// So many hosts are alive.
+    /// This number of hosts is alive.
     Hosts(usize),
-    /// Time has passed; comes at [`super::Batcher::wake`].
+    /// Time has passed; due at [`super::Batcher::wake`].
     Tick,
 }
 
-/// What to do.
+/// Output of the batcher.
 #[derive(Clone, Debug)]
 pub enum Effect {
     /// Send a call.
     Call {
-        /// For its end.
+        /// Identifies the call when it ends.
         call: CallId,
-        /// Where to.
+        /// The target to send it to.
         target: TargetId,
-        /// What to make, in this order.
+        /// The pieces to make, in this order.
         pieces: Vec<Piece>,
-        /// The same, by their numbers here.
+        /// The identifiers of these pieces, in the same order.
         ids: Vec<PieceId>,
-        /// When to give it up, ms from now.
+        /// Time after which to give the call up.
         timeout: Ms,
     },
-    /// A result is given up: nobody reads it, or it was read and its room is needed.
+    /// Delete a result: nobody reads it, or it was read and its room is needed.
     Free {
-        /// Where it lies.
+        /// The target that holds it.
         target: TargetId,
         /// Its handle.
         handle: String,
     },
-    /// A piece ended; its submitter is told.
+    /// Tell the submitter that a piece ended.
     End {
-        /// Which.
+        /// The piece.
         piece: PieceId,
-        /// How.
+        /// How it ended.
         end: PieceEnd,
         /// The target that holds its result, if it was made.
         target: Option<TargetId>,
--- a/crates/sched/src/directory.rs
+++ b/crates/sched/src/directory.rs
@@ -1,33 +1,33 @@
-//! *Directory*: which engines have read a subject.
+//! Keeps track of which engines have read a subject's prompt.
 //!
-//! Answers: far more subjects than requests about each in the time that engines remember them. A
-//! subject asked for three times in half a minute comes to three regions, and each host has seen it
-//! once: each engine reads thousands of tokens that another has just read, a fifth of a second for
-//! each caller.
+//! There are far more subjects than requests for each of them while engines keep it in their
+//! caches. A subject that is asked for three times in half a minute comes to three regions, and
+//! each host has seen it once. So each engine would read thousands of tokens that another has just
+//! read, which costs each caller a fifth of a second.
 //!
-//! So one host, the same for all by rendezvous hashing, keeps the list for a subject. It is asked
-//! while the stages are made, and told with the first event: two messages a request however many
-//! hosts there are. When that host is lost, its subjects are read once more.
+//! So one host keeps the list of engines for a subject; all hosts find it by rendezvous hashing. It
+//! is queried while the stages are made, and updated with the first event: two messages for each
+//! request, however many hosts there are. When that host is lost, its subjects are read once more.
 
 use base::hash_parts;
 use std::collections::{HashMap, VecDeque};
 
-/// Subjects that are kept, the newest: some 3 MB, and at ten long prompts a second for each host
-/// half an hour, where engines remember for less than a minute.
-const SUBJECTS: usize = 20_000;
-/// Engines that are kept for a subject: one for each region that has read it lately.
-const READERS: usize = 4;
+/// Number of subjects that are kept, the newest ones: about 3 MB. At ten long prompts a second for
+/// each host this is half an hour, while engines cache a prompt for less than a minute.
+const MAX_SUBJECTS: usize = 20_000;
+/// Number of engines that are kept for a subject: one for each region that has read it lately.
+const MAX_READERS: usize = 4;
 
-/// The list of the subjects that one host keeps.
+/// The subjects that one host keeps track of.
 #[derive(Debug, Default)]
 pub struct Directory {
     readers: HashMap<u64, VecDeque<String>>,
-    /// Subjects in the order in which they were first read.
+    /// Keys of the subjects in the order in which they were first read.
     order: VecDeque<u64>,
 }
 
 impl Directory {
-    /// An engine has read a subject.
+    /// Records that an engine has read a subject.
     pub fn record(&mut self, service: &str, subject: u64, target: &str) {
         let key = key(service, subject);
         let readers = self.readers.entry(key).or_default();
@@ -36,14 +36,14 @@
         }
         readers.retain(|t| t != target);
         readers.push_front(target.to_owned());
-        readers.truncate(READERS);
-        if self.order.len() > SUBJECTS {
+        readers.truncate(MAX_READERS);
+        if self.order.len() > MAX_SUBJECTS {
             let oldest = self.order.pop_front();
             oldest.and_then(|key| self.readers.remove(&key));
         }
     }
 
-    /// Engines that have read a subject, the newest first.
+    /// The engines that have read a subject, the most recent first.
     pub fn readers(&self, service: &str, subject: u64) -> Vec<String> {
         let readers = self.readers.get(&key(service, subject));
         readers.map_or_else(Vec::new, |readers| readers.iter().cloned().collect())
--- a/crates/sched/src/evacuation.rs
+++ b/crates/sched/src/evacuation.rs
@@ -1,27 +1,27 @@
-//! *Evacuation*: failure domains whose targets get nothing.
+//! Keeps the evacuated failure domains, whose targets get no requests.
 //!
-//! Answers: an operator empties a failure domain, takes that back and orders it again, while hosts
-//! learn of it from the store or from each other, in any order. Without an order of what is heard,
-//! word of an older state brings work back to a domain that must stay empty.
+//! An operator evacuates a failure domain, lifts the evacuation and orders it again, while hosts
+//! learn of it from the store or from each other, in any order. Without an order of these updates,
+//! an outdated one would send work back to a domain that must stay empty.
 //!
-//! | what is heard | what follows |
+//! | what a host receives | what it does |
 //! |---|---|
-//! | the whole list, at a revision of the store that isn't older than what is held | it holds |
-//! | another host's list, the same | it holds |
-//! | either of an older revision | ignored, and no proof |
+//! | the whole list from the store, at a revision not older than the one it holds | takes it |
+//! | the same from another host | takes it |
+//! | either of them at an older revision | ignores it, also as a proof |
 //!
-//! What is held is proved by the *sending* of the read: a domain may have been evacuated right after
-//! the store looked.
+//! A list is a proof as of the time when the read was *sent*: a domain may have been evacuated
+//! right after the store was read.
 
 use base::{DomainId, Ms};
 use std::collections::BTreeSet;
 
-/// What became of one failure domain.
+/// A change of one failure domain.
 #[derive(Clone, Debug, PartialEq, Eq)]
 pub enum EvacuationEvent {
-    /// Its targets get nothing from now on.
+    /// The domain was evacuated: its targets get no requests from now on.
     Begun(DomainId),
-    /// It was taken back: its targets may have gone cold meanwhile.
+    /// The evacuation was lifted. The domain's targets may have gone cold meanwhile.
     Ended(DomainId),
 }
 
@@ -29,19 +29,20 @@
 #[derive(Clone, Debug, Default)]
 pub struct Evacuations {
     domains: BTreeSet<DomainId>,
-    /// The store's revision up to which they are known; none before the first list.
+    /// Revision of the store up to which they are known; none before the first list.
     known: Option<u64>,
-    /// The revision at which they last changed.
+    /// Revision at which they last changed.
     changed: u64,
     proved: Option<Ms>,
 }
 
 impl Evacuations {
-    /// Takes the whole list, read at `revision` by a call that was sent at `sent`, whether this host
-    /// made it or another that tells of it.
+    /// Takes the whole list, read at `revision` by a call that was sent at `sent`, either by this
+    /// host or by another one that passes it on.
     ///
-    /// Not when a list last changed but how far it is known says which of two is the older: what was
-    /// set and taken back between two looks leaves no trace.
+    /// Which of two lists is older is decided by the revision at which they were read, not by the
+    /// one at which they last changed: an evacuation that is ordered and lifted between two reads
+    /// leaves no trace in the list.
     pub fn list(
         &mut self,
         sent: Ms,
@@ -72,17 +73,17 @@
         &self.domains
     }
 
-    /// The store's revision up to which they are known; none before the first list.
+    /// Revision of the store up to which they are known; none before the first list.
     pub fn known(&self) -> Option<u64> {
         self.known
     }
 
-    /// The store's revision at which they last changed; none before the first list.
+    /// Revision of the store at which they last changed; none before the first list.
     pub fn changed(&self) -> Option<u64> {
         self.known.map(|_| self.changed)
     }
 
-    /// When the read was sent that is the last proof of them; none before the first.
+    /// When the read was sent that last proved them; none before the first.
     pub fn proved(&self) -> Option<Ms> {
         self.proved
     }
--- a/crates/sched/src/sample.rs
+++ b/crates/sched/src/sample.rs
@@ -1,18 +1,19 @@
-//! *Sample*: which ordinary successes get a log line of their own.
+//! Chooses which ordinary successes get a log line of their own.
 //!
-//! Answers: a burst in which each answer writes lines. Without it logs take the processor's time
-//! when it is needed most, and push each other out of the reader's window. Failures don't come
-//! this way: they are kept up to the rate that the writer's queue takes.
+//! During a burst each response would write log lines. Logging would then use up the processor time
+//! just when it is needed most, and the lines would push each other out of the window that a reader
+//! sees. Failures don't pass through this sampling: they are kept up to the rate that the log
+//! writer's queue accepts.
 
 use base::Ms;
 
-/// Lines a second that are always written; one takes about 20 µs, so this is a twentieth of a
+/// Lines that are always written in a second. One takes about 20 µs, so this is a twentieth of a
 /// percent of a core.
-const RATE: u64 = 25;
-/// Beyond that, one in this many.
-const ONE_IN: u64 = 16;
+const FULL_RATE: u64 = 25;
+/// Beyond that rate, one in this many lines is written.
+const SAMPLE_INTERVAL: u64 = 16;
 
-/// Chooses the lines of one host.
+/// The log sampler of one host.
 #[derive(Debug, Default)]
 pub struct Sampler {
     second: Ms,
@@ -20,7 +21,7 @@
 }
 
 impl Sampler {
-    /// Whether this success is written; if so, how many it stands for.
+    /// Whether this success is written; if so, the number of successes that the line stands for.
     pub fn take(&mut self, now: Ms) -> Option<u64> {
         let second = now.scale(1, 1_000);
         if second != self.second {
@@ -29,8 +30,8 @@
         }
         self.count += 1;
         match self.count {
-            count if count <= RATE => Some(1),
-            count if (count - RATE).is_multiple_of(ONE_IN) => Some(ONE_IN),
+            count if count <= FULL_RATE => Some(1),
+            count if (count - FULL_RATE).is_multiple_of(SAMPLE_INTERVAL) => Some(SAMPLE_INTERVAL),
             _ => None,
         }
     }
--- a/crates/sched/tests/small.rs
+++ b/crates/sched/tests/small.rs
@@ -5,7 +5,7 @@
 use sched::budget::{Allowance, RetryBudget};
 use sched::estimate::Estimate;
 use sched::health::{Health, Outcome};
-use sched::poison::{MEMORY, Poison, Recipients, SUSPECT, recipients};
+use sched::poison::{POISON_THRESHOLD, Poison, RETENTION, Recipients, recipients};
 use sched::retry_after::retry_after;
 use sched::sample::Sampler;
 
@@ -62,10 +62,10 @@
     }
     assert!(!poison.is_poison(Ms(1), 7));
     assert!(poison.record(Ms(1), 7, &TargetId::from("c")));
-    assert_eq!(poison.broken(7).len(), SUSPECT);
+    assert_eq!(poison.broken(7).len(), POISON_THRESHOLD);
     assert!(poison.is_poison(Ms(2), 7));
     assert!(!poison.is_poison(Ms(2), 8));
-    assert!(!poison.is_poison(Ms(2) + MEMORY, 7));
+    assert!(!poison.is_poison(Ms(2) + RETENTION, 7));
 }
 
 // A sound request is refused for a minute: connections broke under three reads of one record, days
@@ -181,5 +181,5 @@
     assert_eq!(recipients(6, 1), Recipients::All);
     assert_eq!(recipients(295, 1), Recipients::Counter);
     assert_eq!(recipients(295, 2), Recipients::All);
-    assert_eq!(recipients(295, SUSPECT), Recipients::All);
+    assert_eq!(recipients(295, POISON_THRESHOLD), Recipients::All);
 }
