--- a/crates/sched/src/batch/ends.rs
+++ b/crates/sched/src/batch/ends.rs
@@ -13,7 +13,7 @@
         }
         self.take_end(now, &id, pieces, end, out);
         if let Some(target) = self.targets.get_mut(&id) {
-            target.settle(now, self.config.room);
+            target.learn_foreign(now, self.config.room);
         }
     }
 
@@ -27,16 +27,16 @@
     ) {
         match end {
             CallEnd::Done(ends) => {
-                let sound = ends.len() == pieces.len();
+                let valid = ends.len() == pieces.len();
                 let ends = ends.into_iter().map(Some).chain(std::iter::repeat(None));
                 for (piece, end) in pieces.into_iter().zip(ends) {
                     match end {
-                        Some(PieceEnd::Made(handle)) if sound => {
+                        Some(PieceEnd::Made(handle)) if valid => {
                             self.complete(now, id, piece, handle, out);
                         }
-                        Some(PieceEnd::Gone) if sound => self.finish(piece, PieceEnd::Gone, out),
-                        Some(PieceEnd::Late) if sound => self.finish(piece, PieceEnd::Late, out),
-                        Some(PieceEnd::Room) if sound => self.requeue(now, piece, false, out),
+                        Some(PieceEnd::Gone) if valid => self.finish(piece, PieceEnd::Gone, out),
+                        Some(PieceEnd::Late) if valid => self.finish(piece, PieceEnd::Late, out),
+                        Some(PieceEnd::Room) if valid => self.requeue(now, piece, false, out),
                         _ => self.requeue(now, piece, true, out),
                     }
                 }
--- a/crates/sched/src/batch/target.rs
+++ b/crates/sched/src/batch/target.rs
@@ -212,7 +212,7 @@
     }
 
     /// Records, after a call that found no room, that results of others take up the rest of it.
-    pub(super) fn settle(&mut self, now: Ms, room: u64) {
+    pub(super) fn learn_foreign(&mut self, now: Ms, room: u64) {
         if self.foreign_since == Some(now) {
             self.foreign_bytes = 0;
             self.foreign_bytes = room.saturating_sub(self.kept(now));
--- a/crates/sched/src/poison.rs
+++ b/crates/sched/src/poison.rs
@@ -69,7 +69,7 @@
     /// Records that this incarnation of a target broke the connection before it answered this
     /// request. Returns whether this was not known yet.
     pub fn record(&mut self, now: Ms, fingerprint: u64, target: &TargetId) -> bool {
-        self.forget(now);
+        self.evict(now);
         let breaks = self.breaks.entry(fingerprint).or_default();
         breaks.last = now;
         if breaks.targets.contains(target) || breaks.targets.len() >= POISON_THRESHOLD {
@@ -95,7 +95,7 @@
         self.breaks.get(&fingerprint).map_or(&[], |b| b.targets.as_slice())
     }
 
-    fn forget(&mut self, now: Ms) {
+    fn evict(&mut self, now: Ms) {
         if self.breaks.len() < MAX_REQUESTS {
             return;
         }
--- a/crates/sched/src/prefill.rs
+++ b/crates/sched/src/prefill.rs
@@ -113,7 +113,7 @@
     /// Records that the engine has read a prompt about a subject, `tokens` of which are shared with
     /// other prompts about it. The engine's cache holds `memory` tokens.
     pub fn record(&mut self, subject: u64, tokens: u64, memory: u64) {
-        self.forget(subject);
+        self.remove_subject(subject);
         self.read.push_back((subject, tokens));
         self.tokens += tokens;
         while self.tokens > memory {
@@ -127,7 +127,7 @@
         self.read.iter().any(|(id, _)| *id == subject)
     }
 
-    fn forget(&mut self, subject: u64) {
+    fn remove_subject(&mut self, subject: u64) {
         let Some(at) = self.read.iter().position(|(id, _)| *id == subject) else { return };
         if let Some((_, tokens)) = self.read.remove(at) {
             self.tokens -= tokens;
--- a/crates/sched/tests/assignment.rs
+++ b/crates/sched/tests/assignment.rs
@@ -1,4 +1,4 @@
-//! Who composes and who reads, in fleets of hosts of different size.
+//! Assignment of work in fleets with hosts of different sizes.
 
 use sched::assignment::{assignee, recipients};
 use std::collections::HashSet;
@@ -18,23 +18,24 @@
     assignee(key.as_bytes(), hosts, |h| &h.name, |h| h.capacity)
 }
 
-// Callers of a region wait behind one host that has an eighth of a core for all stage calls, beside
-// hosts with half a core. Duties go to the large ones alone, and to several of them.
+// Guards against the callers of a region waiting for one host with an eighth of a core that handles
+// all stage calls, next to hosts with half a core. Work is assigned to large hosts only, and to
+// several of them.
 #[test]
-fn duties_fall_to_large_hosts() {
+fn work_is_assigned_to_large_hosts() {
     let fleet = fleet(3, 50);
     let hosts: Vec<&Host> = fleet.iter().collect();
-    let holders: HashSet<&str> = (0..40)
+    let assignees: HashSet<&str> = (0..40)
         .map(|key| choose(&hosts, &key.to_string()).unwrap())
         .inspect(|h| assert_eq!(h.capacity, 500, "{}", h.name))
         .map(|h| h.name.as_str())
         .collect();
-    assert_eq!(holders.len(), 3);
+    assert_eq!(assignees.len(), 3);
 }
 
-// All large hosts are lost: the small ones take the duties over rather than nobody.
+// When all large hosts are lost, small ones take over.
 #[test]
-fn without_a_large_host_small_ones_do() {
+fn small_hosts_take_over_without_a_large_one() {
     let fleet = fleet(0, 20);
     let hosts: Vec<&Host> = fleet.iter().collect();
     assert!(choose(&hosts, "any").is_some());
@@ -42,7 +43,7 @@
 }
 
 #[test]
-fn the_loss_of_one_host_moves_its_own_duties_only() {
+fn the_loss_of_a_host_moves_only_its_own_assignments() {
     let fleet = fleet(4, 20);
     let hosts: Vec<&Host> = fleet.iter().collect();
     let left: Vec<&Host> = fleet.iter().filter(|h| h.name != "host-2").collect();
@@ -55,17 +56,17 @@
     }
 }
 
-/// Guards against a dozen hosts that hear from a whole fleet while the others hear nothing.
+/// Guards against a dozen hosts hearing from a whole fleet while the others hear nothing.
 #[test]
-fn what_a_fleet_tells_another_domain_reaches_its_hosts_evenly() {
+fn notifications_spread_evenly_over_another_domain() {
     let names: Vec<String> = (0..50).map(|i| format!("edge-south-{i}")).collect();
     let hosts: Vec<&String> = names.iter().collect();
-    let mut heard = std::collections::HashMap::new();
-    for teller in 0..50 {
-        let told = recipients(&format!("edge-north-{teller}"), &hosts, |n| n.as_str(), 12);
-        assert_eq!(told.len(), 12);
-        told.into_iter().for_each(|n| *heard.entry(n.clone()).or_insert(0) += 1);
+    let mut received = std::collections::HashMap::new();
+    for sender in 0..50 {
+        let chosen = recipients(&format!("edge-north-{sender}"), &hosts, |n| n.as_str(), 12);
+        assert_eq!(chosen.len(), 12);
+        chosen.into_iter().for_each(|n| *received.entry(n.clone()).or_insert(0) += 1);
     }
-    assert_eq!(heard.len(), 50);
-    assert!(heard.values().all(|n| (2..=26).contains(n)), "{heard:?}");
+    assert_eq!(received.len(), 50);
+    assert!(received.values().all(|n| (2..=26).contains(n)), "{received:?}");
 }
--- a/crates/sched/tests/batch.rs
+++ b/crates/sched/tests/batch.rs
@@ -1,4 +1,4 @@
-//! The composer of stage calls: what goes into a call, where, and what a failed call costs.
+//! What the batcher puts into a call, where it sends it, and what a failed call costs.
 
 mod common;
 
@@ -15,9 +15,9 @@
     assert_eq!(bench.calls[0].2.len(), 2);
 }
 
-// Callers wait behind targets that are busy with nearly empty calls: each request's pieces went
-// out alone, and a call's fixed time is twenty times that of a piece.
-// What comes while a target works goes into its next call together.
+// Guards against callers waiting behind targets that are busy with nearly empty calls. This happens
+// if the pieces of each request are sent alone, as the fixed time of a call is twenty times that of
+// a piece. The pieces that arrive while a target is busy go into its next call together.
 #[test]
 fn pieces_that_wait_for_a_busy_target_share_its_next_call() {
     let mut bench = Bench::new(config(), &["a"]);
@@ -38,12 +38,12 @@
     bench.submit("r3", 4, |p| p.due += Ms(10));
     bench.submit("r4", 2, |p| p.due += Ms(20));
     bench.finish(0, Ms(250));
-    // Four more pieces of r3 don't fit beside r2; r4's do.
+    // Four more pieces of r3 don't fit in addition to r2; those of r4 do.
     assert_eq!(bench.requests(1), ["r2", "r4"]);
 }
 
 #[test]
-fn a_request_with_more_pieces_than_a_call_is_made_in_several() {
+fn a_request_larger_than_a_call_is_made_in_several_calls() {
     let mut bench = Bench::new(config(), &["a"]);
     bench.submit("r1", 11, |_| ());
     assert_eq!(bench.calls[0].2.len(), 8);
@@ -53,11 +53,11 @@
     assert_eq!(bench.ends.len(), 11);
 }
 
-// A burst of a lesser kind makes the most urgent kind late too: both cost the same here, and by
-// due time alone they share what there is.
-// Ranks go first among what can still be in time.
+// Guards against a burst of less urgent requests making the most urgent ones late. Both have the
+// same cost here, and ordering by due time alone would divide the capacity between them. Among the
+// pieces that can still be on time, the more urgent rank goes first.
 #[test]
-fn the_more_urgent_kind_goes_first_under_a_burst_of_the_other() {
+fn more_urgent_requests_go_first_under_a_burst_of_others() {
     let mut bench = Bench::new(config(), &["a"]);
     bench.submit("first", 1, |_| ());
     for i in 0..6 {
@@ -68,11 +68,11 @@
     assert_eq!(bench.requests(1)[0], "chapter");
 }
 
-// Under overload everyone is served just too late: ordered by due time, what is late already goes
-// before what could still be in time.
-// What is late anyway takes only the places that are left.
+// Guards against serving every request just too late under overload. Ordered by due time alone,
+// pieces that are already late go before those that could still be on time. Late pieces get only
+// the remaining places of a call.
 #[test]
-fn what_can_be_in_time_goes_before_what_is_late_anyway() {
+fn pieces_on_time_go_before_late_pieces() {
     let mut bench = Bench::new(config(), &["a"]);
     bench.submit("first", 1, |_| ());
     bench.submit("late", 6, |p| p.due = Ms(1));
@@ -83,11 +83,11 @@
     assert_eq!(bench.requests(2), ["late"]);
 }
 
-// Nothing is in time any more after a long overload: requests at the last moment before their
-// callers leave push out those that could still be in time, which are at their last moment next.
-// They get a part of each call and no more.
+// Guards against no request being on time any more after a long overload. Requests just before
+// their deadline would push out those that could still be on time, which are then the next ones
+// just before their deadline. They get a part of each call and no more.
 #[test]
-fn last_chances_take_a_part_of_a_call_only() {
+fn pieces_with_a_last_chance_take_only_a_part_of_a_call() {
     let mut bench = Bench::new(config(), &["a"]);
     bench.submit("first", 1, |_| ());
     for i in 0..4 {
@@ -102,7 +102,7 @@
 }
 
 #[test]
-fn what_is_known_to_be_hopeless_is_refused_when_it_is_handed_in() {
+fn a_piece_that_would_expire_first_is_refused_on_submission() {
     let mut bench = Bench::new(config(), &["a"]);
     bench.submit("first", 1, |_| ());
     for i in 0..8 {
@@ -112,11 +112,11 @@
     assert_eq!(bench.ends, [(ids[0], PieceEnd::Late)]);
 }
 
-// Calls come back without results though their targets are sound: they have room for a handful
-// of large results, and those that were not read yet fill it.
-// Results count from the beginning of their call until they are given up.
+// Guards against calls that end without results at healthy targets: a target has room for a handful
+// of large results, and those that were not read yet fill it. A result takes up room from the start
+// of its call until it is deleted.
 #[test]
-fn a_call_takes_no_more_than_the_room_that_is_left() {
+fn a_call_takes_no_more_than_the_free_room() {
     let mut bench = Bench::new(config(), &["a"]);
     bench.submit("r1", 3, |p| p.bytes = 25 * KB);
     bench.submit("r2", 3, |p| p.bytes = 25 * KB);
@@ -129,14 +129,14 @@
 }
 
 #[test]
-fn a_target_that_had_no_room_is_not_asked_again_at_once() {
+fn a_target_without_room_gets_no_call_again_at_once() {
     let mut bench = Bench::new(config(), &["a"]);
     bench.submit("r1", 2, |_| ());
     let (call, _, _) = bench.calls[0].clone();
     bench.now += Ms(5);
     bench.feed(Event::Ended(call, CallEnd::Done(vec![PieceEnd::Room, PieceEnd::Room])));
-    assert_eq!(bench.calls.len(), 1, "the room is others': asking again would spin");
-    bench.now = bench.batcher.wake(bench.now).expect("it looks again");
+    assert_eq!(bench.calls.len(), 1, "a new call at once would be a busy loop");
+    bench.now = bench.batcher.wake(bench.now).expect("a retry is scheduled");
     while bench.calls.len() == 1 {
         bench.feed(Event::Tick);
         bench.now += Ms(50);
@@ -144,8 +144,8 @@
     assert_eq!(bench.calls[1].2.len(), 2);
 }
 
-// A caller waits for its whole deadline: the target crashed under the call that held its pieces.
-// Pieces may be made again; they go to another target at once.
+// Guards against a caller waiting until its deadline because a target crashed during the call with
+// its pieces. They are made again at another target at once.
 #[test]
 fn pieces_of_a_broken_call_are_made_elsewhere() {
     let mut bench = Bench::new(config(), &["a", "b"]);
@@ -168,11 +168,11 @@
     assert_eq!(bench.ends[0].1, PieceEnd::Failed);
 }
 
-// A stage takes four times as long as usual: its target turned slow, or went dark without a
-// reset, and nothing tells the difference.
-// A call that is overdue has its pieces made elsewhere too, once; the second result is given up.
+// Guards against a stage that takes four times as long as usual because its target has turned slow,
+// or has become unreachable without a connection reset. The pieces of an overdue call are also made
+// elsewhere, once; the second result is deleted.
 #[test]
-fn pieces_of_an_overdue_call_are_made_elsewhere_too() {
+fn pieces_of_an_overdue_call_are_also_made_elsewhere() {
     let mut bench = Bench::new(config(), &["a", "b"]);
     bench.submit("r1", 1, |_| ());
     bench.now += Ms(1_000);
@@ -199,11 +199,11 @@
         }
     }
     let to_slow = bench.calls[1..].iter().filter(|(_, target, _)| *target == slow).count();
-    assert!(to_slow <= 1, "one call to see whether it has recovered");
+    assert!(to_slow <= 1, "at most one probe of the slow target");
 }
 
 #[test]
-fn pieces_that_nobody_waits_for_are_not_made() {
+fn withdrawn_pieces_are_not_made() {
     let mut bench = Bench::new(config(), &["a"]);
     bench.submit("first", 1, |_| ());
     let ids = bench.submit("gone", 2, |_| ());
@@ -214,7 +214,7 @@
 }
 
 #[test]
-fn a_result_that_nobody_waits_for_is_given_up() {
+fn the_result_of_a_withdrawn_piece_is_deleted() {
     let mut bench = Bench::new(config(), &["a"]);
     let ids = bench.submit("gone", 1, |_| ());
     bench.feed(Event::Withdraw(ids));
@@ -224,7 +224,7 @@
 }
 
 #[test]
-fn a_target_that_leaves_gets_no_new_call_and_ends_what_it_has() {
+fn a_leaving_target_ends_its_calls_and_gets_no_new_one() {
     let mut bench = Bench::new(config(), &["a"]);
     bench.submit("r1", 1, |_| ());
     bench.targets(&["b"]);
@@ -235,7 +235,7 @@
 }
 
 #[test]
-fn an_answer_with_too_few_pieces_counts_as_none() {
+fn a_response_with_too_few_pieces_is_rejected() {
     let mut bench = Bench::new(config(), &["a", "b"]);
     bench.submit("r1", 2, |_| ());
     let (call, _, _) = bench.calls[0].clone();
@@ -244,9 +244,10 @@
     assert_eq!(bench.requests(1), ["r1"]);
 }
 
-// Calls stay as small as they were declared at the start, though the operator raised the batch.
+// Guards against calls that keep the size declared at the start although the operator has increased
+// it.
 #[test]
-fn a_changed_declaration_holds_for_the_next_call() {
+fn a_changed_configuration_applies_to_the_next_call() {
     let mut bench = Bench::new(config(), &["a"]);
     bench.submit("r1", 1, |_| ());
     bench.submit("r2", 12, |_| ());
@@ -255,11 +256,11 @@
     assert_eq!(bench.calls[1].2.len(), 12);
 }
 
-// Callers hear after ten seconds that their stages came too late, and come back with no time left.
-// A burst is over its targets for seconds, work that is on time goes first in every call, and what
-// is late already waits for its deadline in vain.
+// Guards against callers hearing only after ten seconds that their stages are late, with no time
+// left to retry. During a burst that exceeds the capacity of the targets for seconds, pieces on
+// time go first in every call, and late ones would wait until they expire.
 #[test]
-fn late_work_that_no_call_has_taken_for_a_while_is_refused_before_its_deadline() {
+fn late_pieces_without_a_call_for_a_while_are_refused_before_they_expire() {
     let mut bench = Bench::new(config(), &["a"]);
     let late = bench.submit("late", 4, |p| p.due = Ms(0));
     let late2 = bench.submit("late2", 4, |p| p.due = Ms(0));
@@ -273,9 +274,9 @@
     assert!(!late.iter().any(|id| refused.contains(id)), "it was in the first call");
 }
 
-// The same where calls are short: what a call takes, not the clock, says how long is in vain.
+// The same with short calls: the waiting time is measured in calls, not in fixed time.
 #[test]
-fn late_work_behind_short_calls_is_refused_sooner() {
+fn late_pieces_behind_short_calls_are_refused_sooner() {
     let mut bench = Bench::new(Batch { call_ms: 60.0, item_ms: 5.0, ..config() }, &["a"]);
     bench.submit("late", 4, |p| p.due = Ms(0));
     let late2 = bench.submit("late2", 4, |p| p.due = Ms(0));
@@ -290,7 +291,7 @@
 }
 
 #[test]
-fn late_work_that_gets_its_turn_in_time_is_kept() {
+fn late_pieces_that_get_a_call_before_they_expire_are_kept() {
     let mut bench = Bench::new(config(), &["a"]);
     for request in 0..10 {
         bench.submit(&format!("late{request}"), 8, |p| p.due = Ms(0));
@@ -302,10 +303,10 @@
     assert_eq!(bench.ends.len(), 80);
 }
 
-// A caller whose request is on time is refused at once, while its targets would have made it.
-// Hundreds of late pieces wait, and each was counted as going before it.
+// Guards against refusing a request at once although the targets could make it on time, because
+// hundreds of waiting late pieces are counted as ahead of it.
 #[test]
-fn late_work_does_not_count_as_ahead_of_what_is_on_time() {
+fn late_pieces_do_not_count_as_ahead_of_pieces_on_time() {
     let mut bench = Bench::new(config(), &["a"]);
     for request in 0..30 {
         bench.submit(&format!("late{request}"), 8, |p| p.due = Ms(0));
--- a/crates/sched/tests/common/mod.rs
+++ b/crates/sched/tests/common/mod.rs
@@ -1,4 +1,4 @@
-//! A batcher under test, with its clock and what it asked for.
+//! A test bench for a batcher, with its clock and a record of its effects.
 
 #![allow(dead_code, reason = "each test file uses a part")]
 
@@ -12,7 +12,8 @@
 
 pub const KB: u64 = 1_000;
 
-/// One place, eight pieces a call of 240 ms and 10 ms a piece, and room for 100 small results.
+/// One slot, eight pieces a call of 240 ms plus 10 ms for each piece, and room for 100 small
+/// results.
 pub fn config() -> Batch {
     let (call_ms, item_ms) = (240.0, 10.0);
     Batch { slots: 1, size: 8, call_ms, item_ms, room: 100 * KB, keep: Ms(4_000) }
@@ -47,7 +48,8 @@
         bench
     }
 
-    /// Targets of one failure domain, or as `name:domain`; reserved ones begin with `!`.
+    /// Sets the targets, all in one failure domain or written as `name:domain`. Reserved ones begin
+    /// with `!`.
     pub fn targets(&mut self, names: &[&str]) {
         let info = |name: &&str| {
             let (name, reserved) = match name.strip_prefix('!') {
@@ -80,7 +82,7 @@
         }
     }
 
-    /// Hands in a stage of a request; due and expiry count from now.
+    /// Submits a stage of a request. Due time and expiry are relative to now.
     pub fn submit(
         &mut self,
         request: &str,
@@ -112,7 +114,7 @@
         ids
     }
 
-    /// The last call ends after `took`, with all its pieces made.
+    /// Ends a call after `took`, with all its pieces made.
     pub fn finish(&mut self, call: usize, took: Ms) {
         let (id, target, pieces) = self.calls[call].clone();
         self.now += took;
--- a/crates/sched/tests/directory.rs
+++ b/crates/sched/tests/directory.rs
@@ -13,7 +13,8 @@
     assert!(directory.readers("others", 7).is_empty(), "services are kept apart");
 }
 
-// A host dies of its memory after some days: each prompt's subject is kept for good.
+// Guards against a host that runs out of memory after some days because it keeps every subject
+// forever.
 #[test]
 fn old_subjects_are_forgotten() {
     let mut directory = Directory::default();
--- a/crates/sched/tests/domains.rs
+++ b/crates/sched/tests/domains.rs
@@ -1,4 +1,4 @@
-//! Targets of a region in several failure domains.
+//! Targets of one region in several failure domains.
 
 mod common;
 
@@ -10,11 +10,11 @@
     move |p| p.home = Some(DomainId::from(domain))
 }
 
-// Operators pay for results that cross failure domains: half of them do, since a request's stages go
-// to whichever target of the region is free.
-// A piece goes to a free target where its inputs lie.
+// Guards against half of all results crossing failure domains, which operators pay for, because the
+// stages of a request go to any free target of the region. A piece goes to a free target in the
+// domain of its inputs.
 #[test]
-fn pieces_go_to_the_free_target_beside_their_inputs() {
+fn pieces_go_to_the_free_target_in_the_domain_of_their_inputs() {
     let mut bench = Bench::new(config(), &["a:east", "b:west"]);
     for _ in 0..3 {
         let call = bench.calls.len();
@@ -27,7 +27,7 @@
     }
 }
 
-// No target idles for it: a burst in one domain is served by the targets of both.
+// No target stays idle for this: a burst in one domain is served by the targets of both.
 #[test]
 fn a_burst_in_one_domain_fills_the_targets_of_both() {
     let mut bench = Bench::new(config(), &["a:east", "b:west"]);
@@ -37,8 +37,8 @@
     assert_eq!(targets, ["b", "a"]);
 }
 
-// Pieces whose own domain has lost its targets wait behind every piece of the other domain.
-// They wait for one call more than those, and no longer.
+// Guards against pieces whose own domain has lost its targets waiting behind all pieces of the
+// other one. They wait for one call more than those, and no longer.
 #[test]
 fn pieces_of_a_domain_without_targets_are_not_starved() {
     let mut bench = Bench::new(config(), &["a:east"]);
@@ -52,24 +52,25 @@
     assert!(west.is_some_and(|call| call <= 3), "{west:?}");
 }
 
-/// Guards against results that are paid for by volume crossing domains to save time that nobody needs.
+/// Guards against results crossing domains, paid for by volume, to save time that nobody needs.
 #[test]
-fn pieces_that_read_much_wait_for_their_domain_while_they_are_in_time() {
-    let much = |p: &mut Piece| {
+fn pieces_with_large_inputs_wait_for_their_domain_while_on_time() {
+    let large_inputs = |p: &mut Piece| {
         p.home = Some(DomainId::from("west"));
         p.reads = 1_000_000;
     };
     let mut bench = Bench::new(config(), &["a:east", "b:west"]);
     bench.submit("first", 8, at("west"));
-    bench.submit("second", 8, much);
-    assert_eq!(bench.calls.len(), 1, "the east idles");
+    bench.submit("second", 8, large_inputs);
+    assert_eq!(bench.calls.len(), 1, "the target in the east stays idle");
     bench.finish(0, Ms(320));
     assert_eq!((bench.calls[1].1.as_str(), bench.requests(1)), ("b", vec!["second"]));
 }
 
-/// Guards against callers that wait for bytes to be saved: without time left they go anywhere.
+/// Guards against callers waiting for the sake of saved bytes: pieces with no time left go
+/// anywhere.
 #[test]
-fn pieces_that_read_much_go_anywhere_when_their_domain_would_be_too_late() {
+fn pieces_with_large_inputs_go_anywhere_if_their_domain_would_be_late() {
     let mut bench = Bench::new(config(), &["a:east", "b:west"]);
     bench.submit("first", 8, at("west"));
     let due = bench.now + Ms(400);
@@ -81,8 +82,8 @@
     assert_eq!((bench.calls[1].1.as_str(), bench.requests(1)), ("a", vec!["second"]));
 }
 
-/// Guards against targets of another region, which only restricted requests may use, hiding how long
-/// all others wait: hopeless work would be taken in, and none passed on.
+/// Guards against reserved targets of another region, which only restricted requests may use,
+/// hiding how long all other requests wait. Hopeless work would be accepted, and none offloaded.
 #[test]
 fn reserved_targets_do_not_shorten_the_wait() {
     let mut bench = Bench::new(config(), &["a:east", "!far:west"]);
--- a/crates/sched/tests/evacuation.rs
+++ b/crates/sched/tests/evacuation.rs
@@ -1,4 +1,4 @@
-//! What a host takes of evacuated failure domains, whoever tells it.
+//! Updates of the evacuated failure domains from the store and from other hosts.
 
 use base::{DomainId, Ms};
 use sched::evacuation::{EvacuationEvent, Evacuations};
@@ -25,9 +25,9 @@
     assert_eq!(*known.domains(), domains(&["b"]));
 }
 
-/// Guards against a reader that was paused and tells of the time before an evacuation.
+/// Guards against a reader that was paused and passes on a list from before an evacuation.
 #[test]
-fn older_word_of_another_host_neither_counts_nor_proves() {
+fn an_older_list_of_another_host_is_ignored_and_no_proof() {
     let mut known = Evacuations::default();
     known.list(Ms(100), 20, domains(&[]));
     known.list(Ms(200), 30, domains(&["a"]));
@@ -36,10 +36,10 @@
     assert_eq!(known.proved(), Some(Ms(200)));
 }
 
-/// Guards against an evacuation that was taken back and set again between two looks of this host,
-/// and that another host which looked in between takes for ended.
+/// Guards against an evacuation that is lifted and ordered again between two reads of this host,
+/// when another host that read in between reports it as lifted.
 #[test]
-fn what_another_host_saw_in_between_does_not_count() {
+fn a_list_that_another_host_read_in_between_is_ignored() {
     let mut known = Evacuations::default();
     known.list(Ms(100), 44, domains(&["a"]));
     known.list(Ms(300), 46, domains(&["a"]));
@@ -47,7 +47,7 @@
     assert_eq!(*known.domains(), domains(&["a"]));
 }
 
-/// Guards against a list that was sent before a change and answered after it.
+/// Guards against a list that was requested before a change and arrives after it.
 #[test]
 fn a_list_of_an_older_revision_is_ignored() {
     let mut known = Evacuations::default();
@@ -57,9 +57,9 @@
     assert_eq!(*known.domains(), domains(&["a"]));
 }
 
-/// Guards against followers that are woken by every list of their reader.
+/// Guards against waking all followers for every list that their reader takes.
 #[test]
-fn a_list_without_a_change_is_a_proof_and_no_news() {
+fn a_list_without_a_change_is_a_proof_and_no_event() {
     let mut known = Evacuations::default();
     known.list(Ms(1), 10, domains(&["a"]));
     known.list(Ms(900), 400, domains(&["a"]));
--- a/crates/sched/tests/evacuation_schedules.rs
+++ b/crates/sched/tests/evacuation_schedules.rs
@@ -1,5 +1,5 @@
-//! Random schedules of hosts that list evacuations and tell each other, with answers that are late
-//! or lost, hosts that restart and hosts that were cut off.
+//! Random schedules of hosts that list evacuations and pass them on to each other, with late or
+//! lost responses, hosts that restart and hosts that were cut off.
 
 use base::{DomainId, Ms};
 use rand::seq::IndexedRandom;
@@ -14,7 +14,7 @@
 
 /// A list on its way to a host, from the store or from another host.
 struct Answer {
-    /// When the call was sent that proves it, by the clock of the host that gets it.
+    /// When the call that proves it was sent, by the clock of the host that receives it.
     sent: Ms,
     revision: u64,
     domains: BTreeSet<DomainId>,
@@ -24,10 +24,10 @@
     rng: ChaCha8Rng,
     now: Ms,
     revision: u64,
-    /// Evacuated domains from each moment on.
+    /// The evacuated domains since each of these times.
     history: Vec<(Ms, BTreeSet<DomainId>)>,
     hosts: Vec<Evacuations>,
-    on_way: Vec<(usize, Answer)>,
+    in_flight: Vec<(usize, Answer)>,
 }
 
 impl World {
@@ -38,7 +38,7 @@
             revision: 10,
             history: vec![(Ms::ZERO, BTreeSet::new())],
             hosts: vec![Evacuations::default(); HOSTS],
-            on_way: Vec::new(),
+            in_flight: Vec::new(),
         }
     }
 
@@ -51,12 +51,12 @@
         let host = self.rng.random_range(0..HOSTS);
         match self.rng.random_range(0..20) {
             0..=2 => self.operate(),
-            // Targets and others write all the time.
+            // Targets and other clients write to the store all the time.
             3..=4 => self.revision += 1,
             5..=8 => self.list(host),
             9..=11 => self.ask(host),
             12 => self.hosts[host] = Evacuations::default(),
-            // An answer is lost.
+            // A response is lost.
             13 => drop(self.take_answer()),
             _ => self.deliver(),
         }
@@ -73,28 +73,28 @@
         self.history.push((self.now, domains));
     }
 
-    /// The store looks now; the answer comes any time later.
+    /// The store is read now; the response may arrive at any later time.
     fn list(&mut self, host: usize) {
         let delay = Ms(self.rng.random_range(0..30));
         let sent = self.now - delay;
         let list = Answer { sent, revision: self.revision, domains: self.current() };
-        self.on_way.push((host, list));
+        self.in_flight.push((host, list));
     }
 
     fn ask(&mut self, host: usize) {
         let other = self.rng.random_range(0..HOSTS);
         let known = &self.hosts[other];
         let (Some(proved), Some(revision)) = (known.proved(), known.known()) else { return };
-        // Delays on the way make a proof older, never younger.
+        // Delays on the way make a proof older, never newer.
         let sent = proved - Ms(self.rng.random_range(0..20));
-        let told = Answer { sent, revision, domains: known.domains().clone() };
-        self.on_way.push((host, told));
+        let answer = Answer { sent, revision, domains: known.domains().clone() };
+        self.in_flight.push((host, answer));
     }
 
     fn take_answer(&mut self) -> Option<(usize, Answer)> {
-        match self.on_way.len() {
+        match self.in_flight.len() {
             0 => None,
-            len => Some(self.on_way.swap_remove(self.rng.random_range(0..len))),
+            len => Some(self.in_flight.swap_remove(self.rng.random_range(0..len))),
         }
     }
 
@@ -103,7 +103,7 @@
         self.hosts[host].list(answer.sent, answer.revision, answer.domains);
     }
 
-    /// What a host holds was true at some moment since the sending of its proof.
+    /// Checks that what each host holds was true at some time since its proof was sent.
     fn check(&self, seed: u64) {
         for known in &self.hosts {
             let Some(proved) = known.proved() else { continue };
@@ -111,14 +111,14 @@
             while since > 0 && self.history[since].0 == proved {
                 since -= 1;
             }
-            let true_since = self.history[since..].iter().any(|(_, d)| d == known.domains());
-            assert!(true_since, "seed {seed} at {:?}: {known:?}", self.now);
+            let was_true = self.history[since..].iter().any(|(_, d)| d == known.domains());
+            assert!(was_true, "seed {seed} at {:?}: {known:?}", self.now);
         }
     }
 }
 
-/// Guards against an evacuation that a host doesn't know of though its proof is younger, whatever
-/// order lists and other hosts' word come in.
+/// Guards against a host that doesn't know of an evacuation although its proof is newer, in
+/// whatever order it receives lists from the store and from other hosts.
 #[test]
 fn what_a_host_holds_is_never_older_than_its_proof() {
     for seed in 0..SCHEDULES {
--- a/crates/sched/tests/limit.rs
+++ b/crates/sched/tests/limit.rs
@@ -1,4 +1,4 @@
-//! What a target that names a limit gets from a fleet that nobody coordinates.
+//! How many requests a target that announces a limit gets from a fleet without coordination.
 
 use base::{HostId, Ms};
 use rand::{RngExt, SeedableRng};
@@ -8,7 +8,7 @@
 const TARGET: &str = "engine-7";
 /// Span over which requests are counted, ms.
 const SPAN: u64 = 4_000;
-/// Failure domains of a fleet.
+/// Number of failure domains of the fleet.
 const DOMAINS: usize = 3;
 
 /// One host with what it knows of the target.
@@ -18,7 +18,7 @@
     next: u64,
 }
 
-/// A fleet in which each host would send the target a request every `every` ms.
+/// A fleet in which each host would send the target a request every `every` ms on average.
 struct Fleet {
     per_second: f64,
     every: u64,
@@ -38,21 +38,21 @@
         Self { per_second, every, senders }
     }
 
-    /// Times at which hosts that had been told sent a request, within `time`.
+    /// Times within `time` at which hosts sent a request after they had learned of the limit.
     fn play(&mut self, time: u64, rng: &mut ChaCha8Rng) -> Vec<u64> {
         let mut sent = Vec::new();
         for sender in &mut self.senders {
-            let mut told = false;
+            let mut informed = false;
             while sender.next < time {
                 let now = Ms(sender.next);
                 if sender.limit.delay(now) == Ms::ZERO {
                     sender.limit.sent(now);
                     sender.limit.observe(now, Some(self.per_second));
                     sender.limit.pace(now, sender.interval);
-                    if told {
+                    if informed {
                         sent.push(now.0);
                     }
-                    told = true;
+                    informed = true;
                 }
                 sender.next += rng.random_range(1..=2 * self.every);
             }
@@ -62,7 +62,7 @@
     }
 }
 
-/// The most requests in any span of [`SPAN`].
+/// The largest number of requests in any span of [`SPAN`].
 fn worst(sent: &[u64]) -> usize {
     let within = |from: &u64| sent.iter().filter(|at| (*from..from + SPAN).contains(*at)).count();
     sent.iter().map(within).max().unwrap_or(0)
@@ -80,7 +80,7 @@
                 let what = format!("{count} hosts, {per_second} a second, seed {seed}");
                 assert!(worst as f64 <= allowed, "{what}: {worst} in four seconds");
                 let used = sent.len() as f64 / 120.0;
-                // One host that sends a request in 200 ms has no more than five a second.
+                // A host that sends a request every 200 ms sends no more than five a second.
                 let least = (0.6 * per_second).min(count as f64);
                 assert!(used >= least, "{what}: {used} a second are used");
             }
@@ -88,15 +88,15 @@
     }
 }
 
-/// Guards against hosts without a part that all look again in the same moment.
+/// Guards against all hosts without a share probing at the same moment.
 #[test]
-fn hosts_that_heard_of_a_limit_together_look_again_one_after_the_other() {
+fn hosts_that_learn_of_a_limit_together_probe_one_after_the_other() {
     let all: Vec<HostId> = (0..295).map(|i| HostId::from(format!("edge-{i}"))).collect();
-    let mut looks: Vec<u64> =
+    let mut probes: Vec<u64> =
         all.iter().map(|me| interval(1.0, part(1.0, TARGET, me, [], &all), all.len()).0).collect();
-    looks.sort_unstable();
-    assert!(worst(&looks) <= 2, "{} in four seconds", worst(&looks));
-    assert!(*looks.last().unwrap() < 30 * 60 * 1_000, "all have looked within half an hour");
+    probes.sort_unstable();
+    assert!(worst(&probes) <= 2, "{} in four seconds", worst(&probes));
+    assert!(*probes.last().unwrap() < 30 * 60 * 1_000, "all have probed within half an hour");
 }
 
 #[test]
@@ -104,17 +104,17 @@
     assert_eq!(interval(2.0, Part::Shares(1), 6), Ms(500));
 }
 
-/// Guards against a target that is left alone for good because it once took nothing.
+/// Guards against never sending to a target again because it once announced a limit of zero.
 #[test]
-fn a_limit_of_nothing_is_looked_at_again() {
+fn a_limit_of_zero_is_probed_again() {
     let near = [HostId::from("edge-0")];
     let part = part(0.0, TARGET, &near[0], &near, &near);
     assert_eq!(interval(0.0, part, 1), Ms(3_000));
 }
 
-/// Guards against an answer that was overtaken and ends a limit which has just begun.
+/// Guards against a reordered response ending a limit that has just begun.
 #[test]
-fn an_answer_that_was_overtaken_does_not_end_a_limit() {
+fn a_reordered_response_does_not_end_a_limit() {
     let mut limit = Limit::default();
     assert_eq!(limit.observe(Ms(1_000), Some(1.0)), Some(LimitEvent::Begun));
     assert_eq!(limit.observe(Ms(1_400), None), None);
--- a/crates/sched/tests/load.rs
+++ b/crates/sched/tests/load.rs
@@ -1,8 +1,9 @@
-//! Calls filled across hosts against hosts that fill calls alone, in virtual time.
+//! Compares calls that one host composes for all hosts with calls that each host composes alone, in
+//! virtual time.
 //!
-//! The load is the co-operative's: five targets with one place each, 240 ms a call and 15 ms a
-//! piece, 14 pieces a call, four pieces a request. What is counted is the share of requests whose
-//! stage ends within 900 ms, about twice a full call.
+//! The load is modelled on that of a co-operative: five targets with one slot each, 240 ms a call
+//! plus 15 ms for each piece, 14 pieces a call, four pieces a request. The measure is the share of
+//! requests whose stage ends within 900 ms, about twice the duration of a full call.
 
 use base::{DomainId, Ms, PoolId, TargetId};
 use catalog::{Batch, Residency};
@@ -18,15 +19,15 @@
 const TARGETS: usize = 5;
 const PIECES: u64 = 4;
 const IN_TIME: Ms = Ms(900);
-const DAY: Ms = Ms(20_000);
-/// Calls that wait at a target beside the one that runs.
+const DURATION: Ms = Ms(20_000);
+/// Calls that wait at a target in addition to the one that runs.
 const QUEUE: usize = 2;
 
 #[derive(Clone, Debug, PartialEq, Eq, PartialOrd, Ord)]
-enum What {
+enum Action {
     Arrive(usize),
     Wake(usize),
-    Turn(usize),
+    StartNext(usize),
     End(usize, usize, CallId, usize),
 }
 
@@ -38,7 +39,7 @@
 
 struct World {
     now: Ms,
-    heap: BinaryHeap<Reverse<(Ms, u64, What)>>,
+    heap: BinaryHeap<Reverse<(Ms, u64, Action)>>,
     order: u64,
     hosts: Vec<Batcher>,
     wakes: Vec<Ms>,
@@ -47,7 +48,7 @@
     slow: Vec<u64>,
     left: HashMap<u64, (u64, Ms)>,
     done: u64,
-    asked: u64,
+    submitted: u64,
     in_time: u64,
 }
 
@@ -78,7 +79,7 @@
             slow: vec![1; TARGETS],
             left: HashMap::new(),
             done: 0,
-            asked: 0,
+            submitted: 0,
             in_time: 0,
         };
         let infos: Vec<TargetInfo> = (0..TARGETS)
@@ -94,9 +95,9 @@
         world
     }
 
-    fn at(&mut self, at: Ms, what: What) {
+    fn at(&mut self, at: Ms, action: Action) {
         self.order += 1;
-        self.heap.push(Reverse((at, self.order, what)));
+        self.heap.push(Reverse((at, self.order, action)));
     }
 
     fn feed(&mut self, host: usize, event: Event) {
@@ -107,7 +108,7 @@
                 Effect::Call { call, target, pieces, .. } => {
                     let t: usize = target.as_str()[1..].parse().unwrap();
                     self.queues[t].push_back(Call { host, id: call, pieces });
-                    self.at(self.now, What::Turn(t));
+                    self.at(self.now, Action::StartNext(t));
                 }
                 Effect::End { piece, end, .. } => self.ended(piece, &end),
                 Effect::Free { .. } => {}
@@ -116,7 +117,7 @@
         match self.hosts[host].wake(self.now) {
             Some(at) if at < self.wakes[host] || self.wakes[host] <= self.now => {
                 self.wakes[host] = at;
-                self.at(at, What::Wake(host));
+                self.at(at, Action::Wake(host));
             }
             _ => {}
         }
@@ -133,8 +134,8 @@
     }
 
     fn arrive(&mut self, host: usize) {
-        self.asked += 1;
-        let request = self.asked;
+        self.submitted += 1;
+        let request = self.submitted;
         self.left.insert(request, (PIECES, self.now));
         let piece = |index: u64| Piece {
             request: request.to_string().into(),
@@ -153,7 +154,7 @@
         self.feed(host, Event::Submit(pieces));
     }
 
-    fn turn(&mut self, t: usize) {
+    fn start_next(&mut self, t: usize) {
         while self.queues[t].len() > QUEUE + usize::from(self.running[t].is_none()) {
             let Some(call) = self.queues[t].pop_back() else { break };
             self.feed(call.host, Event::Ended(call.id, CallEnd::Full));
@@ -163,37 +164,37 @@
         }
         let Some(call) = self.queues[t].pop_front() else { return };
         let took = Ms((240 + 15 * call.pieces.len() as u64) * self.slow[t]);
-        self.at(self.now + took, What::End(t, call.host, call.id, call.pieces.len()));
+        self.at(self.now + took, Action::End(t, call.host, call.id, call.pieces.len()));
         self.running[t] = Some(call);
     }
 
-    /// Plays a day with so many requests a second; gives the share that was in time.
+    /// Simulates a period with `rate` requests a second. Returns the share that was on time.
     fn play(mut self, rate: f64, seed: u64) -> f64 {
         let mut rng = ChaCha8Rng::seed_from_u64(seed);
         let mut at = 0.0;
         loop {
             at += -(1.0 - rng.random::<f64>()).ln() * 1_000.0 / rate;
-            if Ms(at as u64) >= DAY {
+            if Ms(at as u64) >= DURATION {
                 break;
             }
             let host = rng.random_range(0..self.hosts.len());
-            self.at(Ms(at as u64), What::Arrive(host));
+            self.at(Ms(at as u64), Action::Arrive(host));
         }
-        while let Some(Reverse((at, _, what))) = self.heap.pop() {
+        while let Some(Reverse((at, _, action))) = self.heap.pop() {
             self.now = at;
-            match what {
-                What::Arrive(host) => self.arrive(host),
-                What::Wake(host) => self.feed(host, Event::Tick),
-                What::Turn(t) => self.turn(t),
-                What::End(t, host, id, pieces) => {
+            match action {
+                Action::Arrive(host) => self.arrive(host),
+                Action::Wake(host) => self.feed(host, Event::Tick),
+                Action::StartNext(t) => self.start_next(t),
+                Action::End(t, host, id, pieces) => {
                     self.running[t] = None;
                     let ends = (0..pieces).map(|i| PieceEnd::Made(format!("{}-{i}", id.0)));
                     self.feed(host, Event::Ended(id, CallEnd::Done(ends.collect())));
-                    self.turn(t);
+                    self.start_next(t);
                 }
             }
         }
-        self.in_time as f64 / self.asked as f64
+        self.in_time as f64 / self.submitted as f64
     }
 }
 
@@ -202,12 +203,12 @@
     shares.iter().sum::<f64>() / shares.len() as f64
 }
 
-// Most requests are late though targets could do twice the load: each host sees a sixth of the
-// pieces, sends them in calls of their own, and the fixed time of a call is paid six times.
-// One composer sees them all: measured here 100 % in time, against 32 % with six hosts alone and
-// 20 % with thirty.
+// Guards against most requests being late at half of the load that the targets could carry. If each
+// of six hosts sends its sixth of the pieces in calls of its own, the fixed time of a call is paid
+// six times. With one composer for all pieces, this test measured 100 % on time, against 32 % with
+// six hosts that compose alone and 20 % with thirty.
 #[test]
-fn calls_filled_across_hosts_carry_what_hosts_alone_cannot() {
+fn one_composer_serves_more_in_time_than_hosts_alone() {
     let rate = 21.0;
     let (together, six, thirty) = (mean(1, rate), mean(6, rate), mean(30, rate));
     println!("in time at {rate}/s: together {together:.3}, 6 alone {six:.3}, 30 alone {thirty:.3}");
@@ -216,22 +217,22 @@
     assert!(thirty < six, "{thirty}");
 }
 
-// Everyone is late under a burst past what the targets can do: served by due time alone, each
-// request's turn comes just too late.
-// What can still be in time goes first, so the number served in time stays near what the targets
-// can do: past saturation it falls by little and doesn't collapse.
+// Guards against every request being late during a burst that exceeds the capacity of the targets.
+// Served by due time alone, each request gets its turn just too late. Pieces that can still be on
+// time go first, so the number served on time stays near the capacity of the targets: past
+// saturation it falls a little and doesn't collapse.
 #[test]
-fn past_saturation_the_number_served_in_time_holds() {
+fn goodput_holds_past_saturation() {
     let (at_rate, beyond) = (36.0, 50.0);
     let (full, over) = (mean(1, at_rate) * at_rate, mean(1, beyond) * beyond);
     println!("in time a second: {full:.1} at {at_rate}/s, {over:.1} at {beyond}/s");
     assert!(over >= 0.75 * full, "{over} of {full}");
 }
 
-// A fifth of the places takes four times as long, without a word. Work goes on flowing there.
-// The slow target gets only what no other ends sooner.
+// Guards against work still being sent to a fifth of the capacity that takes four times as long
+// without reporting it. The slow target gets only what no other target would end sooner.
 #[test]
-fn a_slow_target_costs_no_more_than_its_place() {
+fn a_slow_target_costs_no_more_than_its_own_capacity() {
     let shares: Vec<f64> = (0..3)
         .map(|seed| {
             let mut world = World::new(1);
--- a/crates/sched/tests/prefill.rs
+++ b/crates/sched/tests/prefill.rs
@@ -1,12 +1,12 @@
-//! How long engines read, and what each has yet to read.
+//! How long engines take to read prompts, and how much each has yet to read.
 
 use base::{Ms, PoolId};
 use sched::estimate::Estimate;
 use sched::prefill::{Backlog, CachedSubjects, PrefillTime};
 
-// Stages end too late for the aim although each took what it was given: the time that the engine
-// takes after them was read off other engines, which read twice as fast.
-// It is learned from first events, for short and for long prompts.
+// Guards against stages ending too late for the aim although each took the time it was given,
+// because the time for the engine after them was measured at other engines, which read twice as
+// fast. It is learned from the first events, for short and for long prompts.
 #[test]
 fn the_time_to_read_is_learned_from_first_events() {
     let mut model = PrefillTime::default();
@@ -22,7 +22,7 @@
 }
 
 #[test]
-fn prompts_of_one_length_say_nothing_of_the_slope() {
+fn prompts_of_one_length_do_not_determine_the_slope() {
     let mut model = PrefillTime::default();
     (0..500).for_each(|_| model.record(1_000, Ms(90)));
     assert!(model.first_event(1_000).0.abs_diff(90) <= 3);
@@ -30,7 +30,7 @@
 }
 
 #[test]
-fn services_are_learned_apart() {
+fn services_are_learned_separately() {
     let (slow, fast) = (PoolId::from("slow"), PoolId::from("fast"));
     let mut estimate = Estimate::default();
     for i in 0..200 {
@@ -42,7 +42,7 @@
 }
 
 #[test]
-fn what_was_sent_is_read_one_after_the_other() {
+fn prompts_are_read_one_after_the_other() {
     let mut backlog = Backlog::default();
     assert_eq!(backlog.wait(Ms(1_000)), Ms::ZERO);
     backlog.sent(Ms(1_000), Ms(200));
@@ -54,7 +54,7 @@
 }
 
 #[test]
-fn an_engine_forgets_the_oldest_subjects_when_its_memory_is_full() {
+fn the_oldest_subjects_are_evicted_from_a_full_cache() {
     let mut subjects = CachedSubjects::default();
     (1..=3).for_each(|id| subjects.record(id, 40, 100));
     assert!(!subjects.contains(1));
--- a/crates/sched/tests/room.rs
+++ b/crates/sched/tests/room.rs
@@ -1,4 +1,4 @@
-//! Results that were read: how long they lie on, and which go first.
+//! How long results that were read are kept, and which are deleted first.
 
 mod common;
 
@@ -21,23 +21,23 @@
     }
 }
 
-// A caller's answer is late though nothing was wrong for long: one piece in five hundred fails and
-// is made again in the next call, and the results that it reads were given up when the others had
-// read them, so the whole chain before it is made again.
-// What was read lies on where the room isn't needed.
+// Guards against late responses after a small failure. One piece in five hundred fails and is made
+// again in the next call. If the results that it reads were deleted when the other pieces had read
+// them, the whole chain before it would be made again. What was read is kept while its room isn't
+// needed.
 #[test]
-fn what_was_read_lies_on_for_a_piece_that_fails() {
+fn results_that_were_read_are_kept_for_a_piece_that_fails() {
     let mut bench = with_read_results(8, KB);
     assert_eq!(bench.freed.len(), 0);
     bench.submit("r2", 8, |_| ());
     assert_eq!(bench.freed.len(), 0, "the next call finds room beside them");
 }
 
-// A burst fills the targets' room with results that nearly nobody reads any more, and calls shrink
-// to what is left: a third of what the stage can do is lost.
-// They go as soon as the next call would not find room, before it is composed.
+// Guards against losing a third of a stage's capacity during a burst, when results that hardly
+// anybody will read again fill the targets, and calls shrink to the remaining room. They are
+// deleted as soon as the next call would not find room, before it is composed.
 #[test]
-fn what_was_read_makes_room_for_the_next_call() {
+fn results_that_were_read_make_room_for_the_next_call() {
     let mut bench = with_read_results(3, 10 * KB);
     bench.submit("r2", 1, |p| p.bytes = 25 * KB);
     assert_eq!(bench.freed.len(), 0, "25 KB under way leave 45 beside what was read");
@@ -46,7 +46,7 @@
 }
 
 #[test]
-fn what_nobody_has_read_stays() {
+fn unread_results_are_kept() {
     let mut bench = Bench::new(config(), &["a"]);
     bench.submit("r1", 4, |p| p.bytes = 20 * KB);
     bench.finish(0, Ms(250));
@@ -54,10 +54,11 @@
     assert_eq!(bench.freed.len(), 0);
 }
 
-// Requests with small results lose them to one with large results beside them, and gain it nothing.
-// The largest go first, and a twentieth of the room is always left to what was read.
+// Guards against requests with small results losing them to one with large results, which gains
+// nothing by it. The largest are deleted first, and a twentieth of the room is always left to
+// results that were read.
 #[test]
-fn small_results_stay_beside_large_ones() {
+fn small_results_are_kept_beside_large_ones() {
     let mut bench = with_read_results(5, KB);
     bench.submit("r2", 3, |p| p.bytes = 30 * KB);
     bench.finish(1, Ms(250));
@@ -66,11 +67,11 @@
     assert_eq!(bench.freed, ["a/r2-0", "a/r2-1", "a/r2-2"]);
 }
 
-// Calls come back without results though by the declared sizes a third of the room was free: sizes
-// are approximate.
-// After that, less of the room is counted on, and what was read goes sooner.
+// Guards against calls that end without results although by the declared sizes a third of the room
+// was free: sizes are approximate. After such a call, less of the room is relied on, and results
+// that were read are deleted sooner.
 #[test]
-fn a_room_that_was_full_sooner_is_trusted_less() {
+fn room_that_was_not_available_is_trusted_less() {
     let mut bench = Bench::new(config(), &["a"]);
     bench.submit("r1", 3, |p| p.bytes = 15 * KB);
     bench.finish(0, Ms(250));
@@ -78,7 +79,7 @@
     let (call, ..) = bench.calls[1].clone();
     bench.now += Ms(250);
     bench.feed(Event::Ended(call, CallEnd::Done(vec![PieceEnd::Room])));
-    // What others had there is gone by now.
+    // The results of others there are gone by now.
     bench.now += Ms(1_000);
     read(&mut bench, "r1", 3);
     assert!(!bench.freed.is_empty(), "there was room for 50 KB only");
--- a/crates/sched/tests/small.rs
+++ b/crates/sched/tests/small.rs
@@ -1,4 +1,5 @@
-//! Budget, poison, health, estimates and the time to come back.
+//! Tests of the retry budget, poison detection, health, estimates, sampling and the delay before a
+//! retry.
 
 use base::{Ms, PoolId, TargetId};
 use catalog::{Backend, Batch, Repeat, Residency, Route, Stage};
@@ -13,11 +14,11 @@
     PoolId::from("register")
 }
 
-// A service that is nearly full is buried: every host takes the fleet's whole slack of second
-// sends for itself when its targets fail.
-// A host spends the ratio of its own requests and its part of the slack.
+// Guards against overloading a service that is nearly full: when its targets fail, each host would
+// use the fleet's whole slack of retries for itself. A host spends the ratio of its own requests
+// and its share of the slack.
 #[test]
-fn the_parts_of_all_hosts_stay_within_the_fleets_allowance() {
+fn the_shares_of_all_hosts_stay_within_the_fleets_budget() {
     let allowance = Allowance { ratio: 0.2, slack: 52.0, window: Ms(10_000) };
     let mut spent = 0;
     for _ in 0..6 {
@@ -43,7 +44,7 @@
 }
 
 #[test]
-fn second_sends_are_there_again_when_the_window_has_passed() {
+fn retries_are_available_again_after_the_window() {
     let allowance = Allowance { ratio: 0.0, slack: 10.0, window: Ms(1_000) };
     let mut budget = RetryBudget::new(allowance);
     while budget.take(Ms(0), &service()) {}
@@ -51,9 +52,9 @@
     assert!(budget.take(Ms(1_001), &service()));
 }
 
-// Targets crash one after the other: one request brings down each that runs it, and its caller
-// sends it again at any host.
-// Three different targets are enough to hold it for poison; the same one twice is not.
+// Guards against targets crashing one after the other, because one request brings down each target
+// that runs it and its caller sends it again through any host. Breaks at three different targets
+// make it a poison request; a second break at the same one doesn't count.
 #[test]
 fn a_request_that_broke_three_targets_is_poison() {
     let mut poison = Poison::default();
@@ -68,10 +69,10 @@
     assert!(!poison.is_poison(Ms(2) + RETENTION, 7));
 }
 
-// A sound request is refused for a minute: connections broke under three reads of one record, days
-// apart in the life of a burst, with good answers in between.
+// Guards against refusing a healthy request for a minute after connections broke under three reads
+// of the same record, far apart during a burst, with successful responses in between.
 #[test]
-fn a_good_answer_clears_what_broke_before() {
+fn a_successful_response_clears_earlier_breaks() {
     let mut poison = Poison::default();
     poison.record(Ms(0), 7, &TargetId::from("a@1"));
     poison.record(Ms(1), 7, &TargetId::from("b@1"));
@@ -81,16 +82,16 @@
 }
 
 #[test]
-fn lives_of_one_target_count_by_themselves() {
+fn incarnations_of_one_target_count_separately() {
     let mut poison = Poison::default();
-    for life in ["a@1", "a@1", "a@2", "a@3"] {
-        poison.record(Ms(0), 7, &TargetId::from(life));
+    for incarnation in ["a@1", "a@1", "a@2", "a@3"] {
+        poison.record(Ms(0), 7, &TargetId::from(incarnation));
     }
     assert!(poison.is_poison(Ms(1), 7));
 }
 
 #[test]
-fn a_target_without_connection_is_passed_over_and_tried_once_later() {
+fn a_target_without_connection_is_ejected_and_tried_once_later() {
     let mut health = Health::default();
     health.record(Ms(0), Outcome::NoConnection);
     assert!(!health.usable(Ms(100)));
@@ -118,7 +119,7 @@
 }
 
 #[test]
-fn a_stage_is_expected_to_take_what_the_last_ones_took_within_bounds() {
+fn the_expected_duration_of_a_stage_follows_the_last_ones_within_bounds() {
     let mut estimate = Estimate::default();
     assert_eq!(estimate.stage(&service(), &batch()), Ms(280));
     for _ in 0..100 {
@@ -132,7 +133,7 @@
 }
 
 #[test]
-fn a_stage_leaves_time_for_the_longest_chain_behind_it() {
+fn a_stage_leaves_time_for_the_longest_chain_after_it() {
     let stage = |after: Vec<usize>| Stage { service: service(), after, bytes: 0 };
     let route = Route {
         name: "r".into(),
@@ -156,7 +157,7 @@
 }
 
 #[test]
-fn callers_come_back_spread_out_and_while_there_is_time() {
+fn retries_are_spread_out_and_leave_time_to_be_served() {
     let times: Vec<Ms> = (0..200).map(|draw| retry_after(Ms(400), Ms(10_000), draw * 7)).collect();
     assert!(times.iter().all(|t| (Ms(400)..=Ms(600)).contains(t)));
     assert!(times.iter().max() > times.iter().min());
@@ -164,7 +165,7 @@
 }
 
 #[test]
-fn successes_are_sampled_under_a_burst_and_stand_for_all() {
+fn successes_are_sampled_under_a_burst_and_add_up_to_all() {
     let mut sampler = Sampler::default();
     let calm: u64 = (0..20).filter_map(|i| sampler.take(Ms(i * 50))).sum();
     assert_eq!(calm, 20);
@@ -173,11 +174,12 @@
     assert!((950..=1_000).contains(&written.iter().sum::<u64>()));
 }
 
-// Requests stand still for a second on every host: a quarter of a large fleet's engines crash, and
-// each host tells all others of each request that broke. One host counts the breaks of a request;
-// all hear of it from the second one on, and in a small fleet at once.
+// Guards against requests being held up for a second on every host when a quarter of a large
+// fleet's engines crash and each host tells all others of each request that broke. One host counts
+// the breaks of a request; all hosts hear of it from the second break on, and in a small fleet from
+// the first.
 #[test]
-fn a_break_is_told_to_all_where_there_are_few_or_it_comes_again() {
+fn all_hosts_are_told_of_a_break_in_a_small_fleet_or_of_a_repeated_one() {
     assert_eq!(recipients(6, 1), Recipients::All);
     assert_eq!(recipients(295, 1), Recipients::Counter);
     assert_eq!(recipients(295, 2), Recipients::All);
--- a/crates/sched/tests/store_reader.rs
+++ b/crates/sched/tests/store_reader.rs
@@ -1,4 +1,4 @@
-//! Who reads the platform's store when hosts are lost, cut off or of different minds.
+//! Which hosts read the platform's store when hosts are lost, cut off or disagree.
 
 use base::{HostId, Ms};
 use sched::store_reader::{ReaderFault, StoreReaders};
@@ -7,10 +7,11 @@
     name.into()
 }
 
-// Callers are refused for their keys everywhere: the host that all follow waits for a third one
-// that it takes for the reader, and nobody reads. A host that is asked reads by that alone.
+// Guards against callers being refused for their keys everywhere because nobody reads the store:
+// the host that all others ask waits for a third one that it considers the reader. A host that is
+// asked reads for that reason alone.
 #[test]
-fn a_host_that_is_asked_reads_until_it_is_not_asked_any_more() {
+fn a_host_reads_while_it_is_asked() {
     let mut sources = StoreReaders::default();
     assert!(!sources.reads(Ms(0)));
     sources.asked(Ms(1_000));
@@ -18,20 +19,21 @@
     assert!(!sources.reads(Ms(6_000)));
 }
 
-// Hundreds of hosts call a store that is away, and it comes back under their load: each takes the
-// reader's word that the store can't be reached for a reason to try itself.
+// Guards against hundreds of hosts calling a store that is down and has to come back under this
+// load, which happens if each host tries the store itself when the reader reports that it can't
+// reach it.
 #[test]
-fn a_reader_without_the_store_sends_nobody_there() {
+fn a_reader_without_the_store_makes_no_host_read_itself() {
     let mut sources = StoreReaders::default();
     for i in 0..20 {
         let now = Ms(i * 1_000);
         sources.failed(now, &host(&format!("host-{i}")), ReaderFault::Stale);
-        assert!(!sources.reads(now), "after {i} blind hosts");
+        assert!(!sources.reads(now), "after {i} hosts with stale data");
     }
 }
 
-// A host that is cut off from the others, and not from the store, refuses all keys.
-// When two in a row can't be reached it reads itself, for a while.
+// Guards against a host refusing all keys when it is cut off from the other hosts, but not from the
+// store. When two hosts in a row can't be reached, it reads the store itself for a while.
 #[test]
 fn a_host_that_reaches_no_other_reads_itself() {
     let mut sources = StoreReaders::default();
@@ -43,7 +45,7 @@
 }
 
 #[test]
-fn single_losses_between_good_answers_do_not_count_together() {
+fn losses_between_successful_responses_are_not_added_up() {
     let mut sources = StoreReaders::default();
     for i in 0..10 {
         sources.failed(Ms(i * 100), &host("a"), ReaderFault::Unreachable);
@@ -53,7 +55,7 @@
 }
 
 #[test]
-fn a_host_that_failed_is_passed_over_for_a_while() {
+fn a_host_that_failed_is_skipped_for_a_while() {
     let mut sources = StoreReaders::default();
     sources.failed(Ms(0), &host("a"), ReaderFault::Unreachable);
     assert!(!sources.fits(Ms(100), &host("a")));
