--- a/crates/sched/src/health.rs
+++ b/crates/sched/src/health.rs
@@ -25,7 +25,7 @@
 const LATENCY_WEIGHT: f64 = 0.15;
 /// Half-life of the failure rate while no response arrives, ms, so that a target that gets no
 /// requests is tried again.
-const FAILURE_HALF_LIFE_MS: f64 = 3_000.0;
+const FAILURE_HALF_LIFE: f64 = 3_000.0;
 
 /// How a request to a target ended.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
@@ -108,7 +108,7 @@
 
     /// Share of recent responses that were failures, 0 to 1.
     pub fn failure_rate(&self, now: Ms) -> f64 {
-        self.failure_rate * 0.5f64.powf((now - self.failure_rate_at).0 as f64 / FAILURE_HALF_LIFE_MS)
+        self.failure_rate * 0.5f64.powf((now - self.failure_rate_at).0 as f64 / FAILURE_HALF_LIFE)
     }
 
     /// Moving average of the response time, ms; none before the first response.
--- a/crates/sched/src/limit.rs
+++ b/crates/sched/src/limit.rs
@@ -64,11 +64,11 @@
 
 /// Time between two requests of a host with this share, in a fleet of `fleet` hosts.
 pub fn interval(per_second: f64, part: Part, fleet: usize) -> Ms {
-    let probe = PROBE_INTERVAL.scale(fleet.max(1) as u64, 1);
+    let wait = PROBE_INTERVAL.scale(fleet.max(1) as u64, 1);
     match part {
         // Even a limit close to zero is probed now and then.
-        Part::Shares(hosts) => probe.min(Ms((f64::from(hosts) * 1000.0 / per_second).ceil() as u64)),
-        Part::None { before } => probe + PROBE_INTERVAL.scale(u64::from(before), 1),
+        Part::Shares(hosts) => wait.min(Ms((f64::from(hosts) * 1000.0 / per_second).ceil() as u64)),
+        Part::None { before } => wait + PROBE_INTERVAL.scale(u64::from(before), 1),
     }
 }
 
--- a/crates/sched/tests/offload.rs
+++ b/crates/sched/tests/offload.rs
@@ -33,5 +33,5 @@
     let last = Stage { pieces: 16, bytes: 6_000, reads: 8 * 60_000 };
     assert_eq!(chosen(last, Some(Ms(350)), &[("west", 0)]), None);
     assert_eq!(chosen(Stage { reads: 0, ..last }, Some(Ms(350)), &[("west", 0)]), Some("west"));
-    assert_eq!(chosen(last, Some(Ms(2_000)), &[("west", 0)]), Some("west"), "it would be too late here");
+    assert_eq!(chosen(last, Some(Ms(2_000)), &[("west", 0)]), Some("west"), "too late here");
 }
--- a/crates/sched/tests/warmup.rs
+++ b/crates/sched/tests/warmup.rs
@@ -51,7 +51,8 @@
             let (worst, all) = play(&[hosts(count)], 20, seed, 3_000);
             assert!(worst as f64 <= LIMIT.of(RATE) / 2.0, "{count} hosts: {worst} in a second");
             let least = match count {
-                // Where up to three hosts share nine requests a second, whole requests may be left over.
+                // Where up to three hosts share nine requests a second, whole requests may be left
+                // over.
                 1..=3 => 20,
                 _ => 18,
             };
