--- a/crates/sched/tests/room.rs
+++ b/crates/sched/tests/room.rs
@@ -79,7 +79,7 @@
     let (call, ..) = bench.calls[1].clone();
     bench.now += Ms(250);
     bench.feed(Event::Ended(call, CallEnd::Done(vec![PieceEnd::Room])));
-    // The results of others there are gone by now.
+    // Results of another composer at this target are gone by now.
     bench.now += Ms(1_000);
     read(&mut bench, "r1", 3);
     assert!(!bench.freed.is_empty(), "there was room for 50 KB only");
