--- a/crates/sched/src/batch/target.rs
+++ b/crates/sched/src/batch/target.rs
@@ -19,8 +19,7 @@
 /// How long before the expected end of a call the next one is sent, so that the target is never
 /// idle: the round trip within a region, and the time to read the call.
 const LEAD: Ms = Ms(8);
-/// Weight of a new call in the target's speed. At this weight, two slow calls in a row mark it as
-/// slow.
+/// Weight of a new call in the target's speed: two slow calls in a row are enough evidence.
 const SPEED_WEIGHT: f64 = 0.5;
 /// A target is slow if it takes more than this many times as long as the best one. Differences in
 /// the size of pieces explain less than that.
