--- a/crates/edge/src/composer/mod.rs
+++ b/crates/edge/src/composer/mod.rs
@@ -10,7 +10,7 @@
 use base::{Ms, PoolId, RegionId, TargetId};
 use catalog::Batch;
 use logs::note;
-use sched::batch::{Batcher, CallEnd, CallId, Effect, Event, Piece, PieceEnd, PieceId, Place};
+use sched::batch::{Batcher, CallEnd, CallId, Effect, Event, Piece, PieceEnd, PieceId, TargetInfo};
 use std::collections::HashMap;
 use std::sync::atomic::{AtomicU64, Ordering};
 use std::sync::{Arc, Mutex, MutexGuard, PoisonError};
@@ -143,7 +143,7 @@
     ///
     /// Two composers for one target each believe its place and its room to be their own: calls are
     /// turned away, or find no room.
-    fn places(&self, service: &PoolId) -> Vec<Place> {
+    fn places(&self, service: &PoolId) -> Vec<TargetInfo> {
         let links = self.core.links();
         let settings = self.core.settings();
         let targets: Vec<(&Arc<Link>, Option<&RegionId>)> =
@@ -155,7 +155,7 @@
             None => !any_near,
         };
         let mine = targets.into_iter().filter(|(_, region)| near(*region) || composed(*region));
-        let place = |(link, region): (&Arc<Link>, Option<&RegionId>)| Place {
+        let place = |(link, region): (&Arc<Link>, Option<&RegionId>)| TargetInfo {
             id: link.entry.id.clone(),
             born: link.entry.born,
             domain: link.entry.domain.clone(),
@@ -184,7 +184,7 @@
                 }
                 _ = moved.changed() => {
                     if let Some(shape) = self.shape(&service.name) {
-                        self.feed(&service, Event::Shape(shape));
+                        self.feed(&service, Event::Config(shape));
                     }
                     self.feed(&service, Event::Targets(self.places(&service.name)));
                     let hosts = self.core.members.hosts().len();
@@ -276,7 +276,7 @@
         let answered = match send(&self.core, &link, OWN_CALL, timeout, build).await {
             Ok(answered) => answered,
             Err(SendFault::Barred(Barrier::Limited(rest) | Barrier::Paused(rest))) => {
-                return CallEnd::Barred(rest);
+                return CallEnd::Deferred(rest);
             }
             // An evacuated target is taken off the list, a cold one stands a call in a moment.
             Err(SendFault::Barred(_)) => return CallEnd::Full,
--- a/crates/edge/src/gate.rs
+++ b/crates/edge/src/gate.rs
@@ -94,13 +94,13 @@
         rest => return Err(Barrier::Paused(rest)),
     }
     check_limit(core, now, link)?;
-    let rest = link.warmth().rest(now);
+    let rest = link.warmth().remaining(now);
     if rest == Ms::ZERO {
         return Ok(());
     }
     let Some(warmup) = declared(core, link) else { return Ok(()) };
     let share = share(core, now, link, warmup);
-    match link.warmth().open(now, share) {
+    match link.warmth().admits(now, share) {
         true => Ok(()),
         false => Err(Barrier::Cold(rest)),
     }
@@ -120,7 +120,7 @@
     if let Some(per_second) = limit.unpaced(now) {
         limit.pace(now, interval(core, link, per_second));
     }
-    match limit.rest(now) {
+    match limit.delay(now) {
         Ms::ZERO => Ok(()),
         rest => Err(Barrier::Limited(rest)),
     }
--- a/crates/edge/src/links.rs
+++ b/crates/edge/src/links.rs
@@ -5,8 +5,8 @@
 use link::{Pool, PoolConfig};
 use sched::health::{Health, Outcome};
 use sched::limit::Limit;
-use sched::reading::{Backlog, Subjects};
-use sched::warmup::Warmth;
+use sched::prefill::{Backlog, CachedSubjects};
+use sched::warmup::WarmupState;
 use std::collections::{BTreeSet, HashMap};
 use std::sync::atomic::{AtomicBool, AtomicU32, AtomicU64, Ordering};
 use std::sync::{Arc, Mutex, MutexGuard, PoisonError};
@@ -38,8 +38,8 @@
     /// Until when it wants nothing from this host, ms.
     paused: AtomicU64,
     backlog: Mutex<Backlog>,
-    subjects: Mutex<Subjects>,
-    warmth: Mutex<Warmth>,
+    subjects: Mutex<CachedSubjects>,
+    warmth: Mutex<WarmupState>,
     /// Time in which it would have registered again, had it been lost, ms.
     unheard: Ms,
 }
@@ -55,7 +55,7 @@
 
 impl Link {
     fn new(now: Ms, entry: Entry, unheard: Ms) -> Self {
-        let mut warmth = Warmth::default();
+        let mut warmth = WarmupState::default();
         warmth.cold_until(now + entry.warmup);
         let config = PoolConfig { connect_ms: CONNECT, idle: IDLE_KEPT, idle_ms: IDLE };
         Self {
@@ -102,12 +102,12 @@
     }
 
     /// What the prompts were about that it has read.
-    pub(crate) fn subjects(&self) -> MutexGuard<'_, Subjects> {
+    pub(crate) fn subjects(&self) -> MutexGuard<'_, CachedSubjects> {
         self.subjects.lock().unwrap_or_else(PoisonError::into_inner)
     }
 
     /// Whether it is cold, and what it got lately.
-    pub(crate) fn warmth(&self) -> MutexGuard<'_, Warmth> {
+    pub(crate) fn warmth(&self) -> MutexGuard<'_, WarmupState> {
         self.warmth.lock().unwrap_or_else(PoisonError::into_inner)
     }
 
--- a/crates/sched/tests/common/mod.rs
+++ b/crates/sched/tests/common/mod.rs
@@ -1,19 +1,20 @@
-//! A batcher under test, with its clock and what it asked for.
+//! A test bench for a batcher, with its clock and a record of its effects.
 
 #![allow(dead_code, reason = "each test file uses a part")]
 
 use base::{DomainId, Ms, PoolId, TargetId};
 use catalog::{Batch, Residency};
 use sched::batch::{
-    Batcher, CallEnd, CallId, Effect, Event, Piece, PieceEnd, PieceId, Place, Source,
+    Batcher, CallEnd, CallId, Effect, Event, Piece, PieceEnd, PieceId, Source, TargetInfo,
 };
 use sched::budget::Allowance;
 use std::sync::Arc;
 
 pub const KB: u64 = 1_000;
 
-/// One place, eight pieces a call of 240 ms and 10 ms a piece, and room for 100 small results.
-pub fn shape() -> Batch {
+/// One slot, eight pieces a call of 240 ms plus 10 ms for each piece, and room for 100 small
+/// results.
+pub fn config() -> Batch {
     let (call_ms, item_ms) = (240.0, 10.0);
     Batch { slots: 1, size: 8, call_ms, item_ms, room: 100 * KB, keep: Ms(4_000) }
 }
@@ -33,8 +34,8 @@
 }
 
 impl Bench {
-    pub fn new(shape: Batch, targets: &[&str]) -> Self {
-        let batcher = Batcher::new(PoolId::from("rerank"), shape, allowance());
+    pub fn new(config: Batch, targets: &[&str]) -> Self {
+        let batcher = Batcher::new(PoolId::from("rerank"), config, allowance());
         let mut bench = Self {
             batcher,
             now: Ms(1_000_000),
@@ -47,15 +48,16 @@
         bench
     }
 
-    /// Targets of one failure domain, or as `name:domain`; reserved ones begin with `!`.
+    /// Sets the targets, all in one failure domain or written as `name:domain`. Reserved ones begin
+    /// with `!`.
     pub fn targets(&mut self, names: &[&str]) {
-        let place = |name: &&str| {
+        let info = |name: &&str| {
             let (name, reserved) = match name.strip_prefix('!') {
                 Some(name) => (name, true),
                 None => (*name, false),
             };
             let (id, domain) = name.split_once(':').unwrap_or((name, "one"));
-            Place {
+            TargetInfo {
                 id: TargetId::from(id),
                 born: 1,
                 domain: DomainId::from(domain),
@@ -63,7 +65,7 @@
                 reserved,
             }
         };
-        self.feed(Event::Targets(names.iter().map(place).collect()));
+        self.feed(Event::Targets(names.iter().map(info).collect()));
     }
 
     pub fn feed(&mut self, event: Event) {
@@ -80,7 +82,7 @@
         }
     }
 
-    /// Hands in a stage of a request; due and expiry count from now.
+    /// Submits a stage of a request. Due time and expiry are relative to now.
     pub fn submit(
         &mut self,
         request: &str,
@@ -112,7 +114,7 @@
         ids
     }
 
-    /// The last call ends after `took`, with all its pieces made.
+    /// Ends a call after `took`, with all its pieces made.
     pub fn finish(&mut self, call: usize, took: Ms) {
         let (id, target, pieces) = self.calls[call].clone();
         self.now += took;
