--- a/bins/siskinwheel-bench/src/decide.rs
+++ b/bins/siskinwheel-bench/src/decide.rs
@@ -6,7 +6,7 @@
 };
 use conf::Plan;
 use model::{Policy, Size, synthetic};
-use policy::{Arrival, Effect, Event, Placed, Reducer, Usage};
+use policy::{Arrival, Effect, Event, HostContext, Reducer, Usage};
 use std::collections::VecDeque;
 use std::sync::Arc;
 use std::time::Instant;
@@ -126,7 +126,7 @@
     let fleet = synthetic(size).context("making a configuration")?;
     let plan = Plan::new(Generation(1), fleet).context("checking the configuration")?;
     let targets: Vec<_> = plan.targets.iter().map(|t| t.name.clone()).collect();
-    let placed = Placed {
+    let placed = HostContext {
         host: HostId::from("host-1"),
         domain: DomainId::from("domain-0"),
         region: RegionId::from("region-0"),
--- a/crates/entry/src/host.rs
+++ b/crates/entry/src/host.rs
@@ -6,7 +6,7 @@
 use journal::{Journal, Sharded, ShardedConfig};
 use link::{Bounds, Handler, Served, Stop, serve};
 use logs::note;
-use policy::{Event, Placed, State};
+use policy::{Event, HostContext, State};
 use std::net::SocketAddr;
 use std::sync::Arc;
 use store::{Api, Bounded, HttpApi, HttpConfig};
@@ -178,8 +178,8 @@
     journal
 }
 
-fn placed(settings: &Settings) -> Placed {
-    Placed {
+fn placed(settings: &Settings) -> HostContext {
+    HostContext {
         host: settings.host.clone(),
         domain: settings.domain.clone(),
         region: settings.region.clone(),
--- a/crates/entry/tests/sim/world.rs
+++ b/crates/entry/tests/sim/world.rs
@@ -7,7 +7,7 @@
 use fakes::{Gate, GatedApi, MemFaults, MemStore};
 use journal::{Journal, Sharded, ShardedConfig};
 use peer::{PeerError, Peers, View, ViewHost};
-use policy::{Event, Naive, Placed, Reducer, State};
+use policy::{Event, HostContext, Naive, Reducer, State};
 use std::collections::BTreeMap;
 use std::net::SocketAddr;
 use std::sync::atomic::{AtomicU64, Ordering};
@@ -186,7 +186,7 @@
     }
 
     fn reducer(&self, settings: &Settings) -> Box<dyn Reducer> {
-        let placed = Placed {
+        let placed = HostContext {
             host: settings.host.clone(),
             domain: settings.domain.clone(),
             region: settings.region.clone(),
--- a/crates/model/src/policies.rs
+++ b/crates/model/src/policies.rs
@@ -1,6 +1,6 @@
 //! Which reducer the hosts run.
 
-use policy::{Decision, Naive, Placed, Reducer, State};
+use policy::{Decision, HostContext, Naive, Reducer, State};
 
 /// What the hosts decide by.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
@@ -35,7 +35,7 @@
     }
 
     /// A fresh reducer for one host.
-    pub fn reducer(self, placed: Placed) -> Box<dyn Reducer> {
+    pub fn reducer(self, placed: HostContext) -> Box<dyn Reducer> {
         match self {
             Self::Naive => Box::new(Naive::new()),
             Self::Full => Box::new(State::new(placed, &[])),
--- a/crates/model/src/replay.rs
+++ b/crates/model/src/replay.rs
@@ -1,7 +1,7 @@
 //! Events of a host as a file, one JSON line each, and the effects that they give.
 
 use base::Ms;
-use policy::{Effect, Event, Placed, Reducer};
+use policy::{Effect, Event, HostContext, Reducer};
 use serde::{Deserialize, Serialize};
 use std::io::{BufRead, Write};
 use thiserror::Error;
@@ -15,7 +15,7 @@
     /// Where the host stands. The first line.
     Placed {
         /// Where, and its seed.
-        placed: Placed,
+        placed: HostContext,
     },
     /// What happened, and when.
     Event {
--- a/crates/model/src/world.rs
+++ b/crates/model/src/world.rs
@@ -1,7 +1,7 @@
 //! The run itself: virtual time, entry hosts with their reducers, callers and the journal.
 
 use base::{Attempt, Ms, RequestId};
-use policy::{Effect, Event, Placed, Reducer};
+use policy::{Effect, Event, HostContext, Reducer};
 use rand_chacha::ChaCha8Rng;
 use rand_chacha::rand_core::SeedableRng;
 use std::collections::{HashMap, HashSet};
@@ -51,7 +51,7 @@
 
 /// An entry host.
 pub(crate) struct Host {
-    pub placed: Placed,
+    pub placed: HostContext,
     pub reducer: Box<dyn Reducer>,
     /// Index of its failure domain.
     pub domain: usize,
@@ -120,7 +120,7 @@
         let host = |(id, domain): (base::HostId, usize)| {
             let name = model.domains[domain].clone();
             let region = plan.region(&name).expect("every domain has a region").clone();
-            let placed = Placed { host: id, domain: name, region, seed };
+            let placed = HostContext { host: id, domain: name, region, seed };
             let reducer = policy.reducer(placed.clone());
             Host {
                 placed,
--- a/crates/policy/src/lib.rs
+++ b/crates/policy/src/lib.rs
@@ -39,5 +39,5 @@
 pub use event::{Arrival, Event, Fault, Grant, Usage};
 pub use naive::Naive;
 pub use ran::{Ledger, Ran};
-pub use reducer::{Placed, Reducer};
+pub use reducer::{HostContext, Reducer};
 pub use state::State;
--- a/crates/policy/src/reducer.rs
+++ b/crates/policy/src/reducer.rs
@@ -13,7 +13,7 @@
 
 /// Where the deciding host stands, and the seed of its generator.
 #[derive(Clone, Debug, PartialEq, Eq, Serialize, Deserialize)]
-pub struct Placed {
+pub struct HostContext {
     /// The host.
     pub host: HostId,
     /// Its failure domain.
--- a/crates/policy/src/state.rs
+++ b/crates/policy/src/state.rs
@@ -18,11 +18,11 @@
 use crate::target::{Context, Report, Target};
 use crate::view::{self, Names, View};
 use crate::wait_queue::WaitQueue;
-use crate::{Decision, Effect, Event, Placed, Reducer, hedge};
+use crate::{Decision, Effect, Event, HostContext, Reducer, hedge};
 
 /// All that an entry host decides by.
 pub struct State {
-    pub(crate) placed: Placed,
+    pub(crate) placed: HostContext,
     pub(crate) without: Without,
     pub(crate) view: Option<Arc<View>>,
     pub(crate) names: Names,
@@ -66,7 +66,7 @@
 impl State {
     /// An empty state: it serves once a configuration came. Decisions in `without` are replaced
     /// by the plainest choice.
-    pub fn new(placed: Placed, without: &[Decision]) -> Self {
+    pub fn new(placed: HostContext, without: &[Decision]) -> Self {
         Self {
             without: Without::new(without),
             view: None,
--- a/crates/policy/src/view.rs
+++ b/crates/policy/src/view.rs
@@ -6,7 +6,7 @@
 use std::hash::Hash;
 use std::sync::Arc;
 
-use crate::Placed;
+use crate::HostContext;
 use crate::route::{self, Crossing, SUBSET, Tiers};
 use crate::target::Tier;
 
@@ -93,7 +93,7 @@
 }
 
 impl View {
-    pub(crate) fn new(plan: Arc<Plan>, placed: &Placed, names: &mut Names) -> Self {
+    pub(crate) fn new(plan: Arc<Plan>, placed: &HostContext, names: &mut Names) -> Self {
         let targets: Vec<u32> =
             plan.targets.iter().map(|t| names.targets.number(t.name.clone())).collect();
         let spaces: Vec<u32> =
@@ -135,13 +135,13 @@
 }
 
 /// The tier of a target.
-pub(crate) fn tier(target: &PlanTarget, placed: &Placed) -> Tier {
+pub(crate) fn tier(target: &PlanTarget, placed: &HostContext) -> Tier {
     route::tier(target.domain == placed.domain, target.region == placed.region)
 }
 
 /// The targets of a stage by tier, and of each tier this host's subset: rendezvous hashing
 /// spreads the hosts evenly, and few change when a target goes.
-fn split(plan: &Plan, numbers: &[u32], placed: &Placed, stage: &PlanStage) -> Tiers {
+fn split(plan: &Plan, numbers: &[u32], placed: &HostContext, stage: &PlanStage) -> Tiers {
     let mut tiers = Tiers::default();
     for tier_now in [Tier::Domain, Tier::Region, Tier::Far] {
         let all = stage.targets.iter().copied();
--- a/crates/policy/tests/common/mod.rs
+++ b/crates/policy/tests/common/mod.rs
@@ -6,7 +6,7 @@
 use base::{Attempt, Generation, Ms, RequestId};
 use conf::{Fleet, Plan};
 use policy::{
-    Arrival, Code, Decision, Effect, Event, Fault, Placed, Reducer, State, Usage, Verdict,
+    Arrival, Code, Decision, Effect, Event, Fault, HostContext, Reducer, State, Usage, Verdict,
 };
 use std::cmp::Reverse;
 use std::collections::{BTreeMap, BinaryHeap};
@@ -72,8 +72,8 @@
 }
 
 /// A host at home.
-pub fn placed() -> Placed {
-    Placed { host: "h1".into(), domain: "home".into(), region: "east".into(), seed: 7 }
+pub fn placed() -> HostContext {
+    HostContext { host: "h1".into(), domain: "home".into(), region: "east".into(), seed: 7 }
 }
 
 /// A request that is sent.
