--- a/crates/entry/src/problem.rs
+++ b/crates/entry/src/problem.rs
@@ -12,7 +12,7 @@
 pub(crate) fn caller(err: &CallerError, doubt: bool) -> Response<Body> {
     let retry = matches!(err, CallerError::NotReady).then_some(Ms::secs(1));
     let mut ledger = Ledger::default();
-    ledger.unasked(doubt);
+    ledger.refused_unregistered(doubt);
     let ran = ledger.verdict().as_str();
     response(problem(err.status(), err.code(), ran, err.to_string(), retry), retry)
 }
--- a/crates/policy/src/arrive.rs
+++ b/crates/policy/src/arrive.rs
@@ -263,7 +263,7 @@
 /// Refuses a request of which nothing was asked yet.
 fn turn_away(arrival: &Arrival, no: No, out: &mut Vec<Effect>) {
     let mut ledger = Ledger::default();
-    ledger.unasked(arrival.resent);
+    ledger.refused_unregistered(arrival.resent);
     let refusal = Refusal { code: no.code, ran: ledger.verdict(), retry_after: no.after };
     out.push(Effect::Answer { request: arrival.request, verdict: Verdict::Refused(refusal) });
 }
--- a/crates/policy/src/finish.rs
+++ b/crates/policy/src/finish.rs
@@ -24,7 +24,7 @@
     pub(crate) fn too_late(&mut self, now: Ms, request: RequestId, out: &mut Vec<Effect>) {
         let Some(open) = self.open.get_mut(&request) else { return };
         if open.is(Phase::Registering {}) {
-            open.ledger.unasked(open.arrival.resent);
+            open.ledger.refused_unregistered(open.arrival.resent);
         }
         let fresh = open.is(Phase::Waiting {}) && open.ledger.verdict() == Ran::No;
         let (number, runs) = (open.line(), open.runs.clone());
--- a/crates/policy/src/naive.rs
+++ b/crates/policy/src/naive.rs
@@ -65,7 +65,7 @@
         let found = plan.and_then(|p| Some((p.pipeline(arrival.pipeline.as_str())?, p)));
         let mut ledger = Ledger::default();
         let Some((pipeline, plan)) = found.filter(|_| !self.draining) else {
-            ledger.unasked(arrival.resent);
+            ledger.refused_unregistered(arrival.resent);
             let code = if self.draining { Code::Draining } else { Code::NoTarget };
             refuse(arrival.request, code, ledger.verdict(), out);
             return;
@@ -201,7 +201,7 @@
         let Some(open) = self.open.get_mut(&request) else { return };
         // The journal hasn't said yet what it knows of the key.
         if open.arrival.keyed && !open.registered {
-            open.ledger.unasked(open.arrival.resent);
+            open.ledger.refused_unregistered(open.arrival.resent);
         }
         if open.attempt > Attempt(0) {
             let (stage, attempt) = (open.stage, open.attempt);
--- a/crates/policy/src/ran.rs
+++ b/crates/policy/src/ran.rs
@@ -71,7 +71,7 @@
     }
 
     /// A re-sent key is turned away before the journal was asked.
-    pub fn unasked(&mut self, resent: bool) {
+    pub fn refused_unregistered(&mut self, resent: bool) {
         self.doubt |= resent;
     }
 
