--- a/crates/policy/src/arrive.rs
+++ b/crates/policy/src/arrive.rs
@@ -1,49 +1,50 @@
-//! A request arrives, is judged, and has its key recorded.
+//! Handles arriving requests: the admission check and the registration of idempotency keys.
 
 use base::{Attempt, Ms};
 use std::sync::Arc;
 
-use crate::admit::{Judged, PROBE, StageWait, judge};
-use crate::fair::Ask;
-use crate::learn::Times;
-use crate::life::{self, Phase, Step};
-use crate::open::{Open, Rules, work};
+use crate::admit::{Assessment, PROBE_INTERVAL, StageWait, assess};
+use crate::fair::WaitQuery;
+use crate::learn::TimeEstimate;
+use crate::lifecycle::{self, Phase, Step};
+use crate::request::{OpenRequest, Rules, work};
 use crate::route;
 use crate::state::State;
-use crate::view::{View, line};
+use crate::view::{View, queue_id};
 use crate::wait_queue::{Capacity, measure};
 use crate::{Arrival, Code, Decision, Effect, Grant, Ledger, Refusal, Verdict};
 
-/// Where all workspaces' work is counted when they aren't told apart.
-const ONE_FLOW: u32 = 0;
-/// How many times as long as all that waits now, less urgent work may wait for what overtakes it.
-const OVERTAKEN: f64 = 2.0;
-/// How soon to come back when nothing is known of when it will be better.
-pub(crate) const SOON: Ms = Ms(1_000);
+/// The flow of all workspaces when fair queueing is disabled.
+const SHARED_FLOW: u32 = 0;
+/// Upper bound for the wait of less urgent work, relative to the time that all queued work takes.
+/// Such work also waits for later arrivals that overtake it.
+const OVERTAKE_FACTOR: f64 = 2.0;
+/// Suggested retry delay when nothing is known about when capacity will be available.
+pub(crate) const DEFAULT_RETRY_AFTER: Ms = Ms(1_000);
 
-/// Why a request is turned away, and when coming back makes sense.
+/// Why a request is refused, and when a retry makes sense.
 #[derive(Clone, Copy, Debug)]
-pub(crate) struct No {
+pub(crate) struct Rejection {
     pub(crate) code: Code,
-    pub(crate) after: Option<Ms>,
+    pub(crate) retry_after: Option<Ms>,
 }
 
 impl State {
     pub(crate) fn arrive(&mut self, now: Ms, arrival: Arrival, out: &mut Vec<Effect>) {
-        let mut open = match self.let_in(now, arrival) {
+        let mut open = match self.open_request(now, arrival) {
             Ok(open) => open,
-            Err((arrival, no)) => return turn_away(&arrival, no, out),
+            Err((arrival, rejection)) => return refuse(&arrival, rejection, out),
         };
         let request = open.arrival.request;
-        // A key that was sent before may have its answer already: the journal is asked first.
+        // A key that was sent before may already have an answer, so the journal is asked first.
         if !open.arrival.resent
-            && let Err(no) = self.judge(now, &mut open)
+            && let Err(rejection) = self.assess(now, &mut open)
         {
-            return turn_away(&open.arrival, no, out);
+            return refuse(&open.arrival, rejection, out);
         }
         for (stage, &cost) in open.costs.iter().enumerate() {
-            let at = line(open.stages()[stage].kind, open.rules.placement);
-            self.lines[at as usize].fair.promise(
+            let at = queue_id(open.stages()[stage].kind, open.rules.placement);
+            self.queues[at as usize].fair.reserve(
                 open.flow,
                 open.rules.weight,
                 open.lane(stage),
@@ -71,118 +72,131 @@
         out: &mut Vec<Effect>,
     ) {
         let Some(mut open) = self.open.remove(&request) else { return };
-        if !open.is(Phase::Registering {}) {
+        if !open.in_phase(Phase::Registering {}) {
             self.open.insert(request, open);
             return;
         }
         open.ledger.registered(grant, open.arrival.resent);
         open.registered = grant == Grant::Granted;
-        let no = match grant {
-            Grant::Granted if open.gone => Some(No { code: Code::CallerGone, after: None }),
-            Grant::Granted if open.arrival.resent => self.judge(now, &mut open).err(),
+        let rejection = match grant {
+            Grant::Granted if open.caller_gone => {
+                Some(Rejection { code: Code::CallerGone, retry_after: None })
+            }
+            Grant::Granted if open.arrival.resent => self.assess(now, &mut open).err(),
             Grant::Granted => None,
             Grant::Answered => {
                 self.open.insert(request, open);
                 return self.end(now, request, Verdict::Replayed, out);
             }
-            Grant::Running => Some(No { code: Code::Running, after: Some(SOON) }),
-            Grant::Unknown => Some(No { code: Code::OutcomeUnknown, after: None }),
-            Grant::Unavailable => Some(No { code: Code::JournalUnavailable, after: Some(SOON) }),
-            Grant::Expired => Some(No { code: Code::KeyExpired, after: None }),
+            Grant::Running => {
+                Some(Rejection { code: Code::Running, retry_after: Some(DEFAULT_RETRY_AFTER) })
+            }
+            Grant::Unknown => Some(Rejection { code: Code::OutcomeUnknown, retry_after: None }),
+            Grant::Unavailable => Some(Rejection {
+                code: Code::JournalUnavailable,
+                retry_after: Some(DEFAULT_RETRY_AFTER),
+            }),
+            Grant::Expired => Some(Rejection { code: Code::KeyExpired, retry_after: None }),
         };
         self.open.insert(request, open);
-        match no {
-            Some(no) => self.give_up(now, request, no, out),
+        match rejection {
+            Some(rejection) => self.give_up(now, request, rejection, out),
             None => self.enqueue(now, request, out),
         }
     }
 
-    /// Makes the record of a request, unless it is refused whatever the load.
-    fn let_in(&mut self, now: Ms, arrival: Arrival) -> Result<Open, (Arrival, No)> {
+    /// Creates the record of a request, unless it has to be refused regardless of the load.
+    fn open_request(
+        &mut self,
+        now: Ms,
+        arrival: Arrival,
+    ) -> Result<OpenRequest, (Arrival, Rejection)> {
         let found = self.view.clone().and_then(|view| {
             let pipeline = view.plan.pipeline(arrival.pipeline.as_str())?;
-            let space = view.plan.workspace(arrival.workspace.as_str())?;
-            Some((view, pipeline, space))
+            let workspace = view.plan.workspace(arrival.workspace.as_str())?;
+            Some((view, pipeline, workspace))
         });
-        let banned = self.poison.until(now, arrival.fingerprint);
-        let no = |code, after| No { code, after };
-        let (view, pipeline, space) = match found {
-            _ if self.draining => return Err((arrival, no(Code::Draining, Some(SOON)))),
-            None => return Err((arrival, no(Code::NoTarget, Some(SOON)))),
+        let blocked = self.poison.blocked_until(now, arrival.fingerprint);
+        let rejection = |code, retry_after| Rejection { code, retry_after };
+        let (view, pipeline, workspace) = match found {
+            _ if self.draining => {
+                return Err((arrival, rejection(Code::Draining, Some(DEFAULT_RETRY_AFTER))));
+            }
+            None => return Err((arrival, rejection(Code::NoTarget, Some(DEFAULT_RETRY_AFTER)))),
             Some(_) if now >= arrival.deadline => {
-                return Err((arrival, no(Code::Hopeless, None)));
+                return Err((arrival, rejection(Code::Hopeless, None)));
             }
             Some(found) => found,
         };
-        if let Some(until) = banned.filter(|_| !self.without.has(Decision::Poison)) {
-            return Err((arrival, no(Code::Poison, Some(until - now))));
+        if let Some(until) = blocked.filter(|_| !self.disabled.contains(Decision::Poison)) {
+            return Err((arrival, rejection(Code::Poison, Some(until - now))));
         }
-        let mut rules = self.rules(now, &view, space, pipeline);
+        let mut rules = self.rules(now, &view, workspace, pipeline);
         rules.priority = arrival.priority.unwrap_or(rules.priority);
-        let flow = match self.without.has(Decision::Fair) {
-            true => ONE_FLOW,
-            false => view.spaces[space],
+        let flow = match self.disabled.contains(Decision::Fair) {
+            true => SHARED_FLOW,
+            false => view.workspaces[workspace],
         };
         let stages = view.stages[pipeline].iter();
-        let costs = stages.map(|s| self.times(&arrival, s).mean.ceil() as u64).collect();
-        Ok(Open {
+        let costs = stages.map(|s| self.estimate(&arrival, s).mean.ceil() as u64).collect();
+        Ok(OpenRequest {
             view,
             pipeline,
             flow,
             rules,
-            life: life::life(),
+            lifecycle: lifecycle::start(),
             ledger: Ledger::default(),
             registered: false,
-            exposed: false,
-            spent: false,
-            gone: false,
+            unresolved: false,
+            committed: false,
+            caller_gone: false,
             stage: 0,
             attempt: Attempt(0),
             tries: 0,
             offset: 0,
             runs: Vec::new(),
-            place: None,
+            position: None,
             avoid: None,
             costs,
             released: 0,
             arrived: now,
-            hedge: None,
-            forced: false,
-            hard: Ms::MAX,
+            hedge_at: None,
+            probe: false,
+            cutoff: Ms::MAX,
             due: Ms::MAX,
             arrival,
         })
     }
 
-    fn rules(&mut self, now: Ms, view: &Arc<View>, space: usize, pipeline: usize) -> Rules {
-        let key = (space, pipeline);
+    fn rules(&mut self, now: Ms, view: &Arc<View>, workspace: usize, pipeline: usize) -> Rules {
+        let key = (workspace, pipeline);
         if let Some(rules) = self.rules.get(&key).filter(|r| now < r.until) {
             return *rules;
         }
-        let holds = view.plan.effective(space, pipeline, now);
-        let ends = view.plan.fleet.exceptions.iter().filter_map(|e| e.until_ms);
+        let effective = view.plan.effective(workspace, pipeline, now);
+        let expiries = view.plan.fleet.exceptions.iter().filter_map(|e| e.until_ms);
         let rules = Rules {
-            priority: holds.priority.0,
-            placement: holds.placement.0,
-            weight: match self.without.has(Decision::Fair) {
+            priority: effective.priority.0,
+            placement: effective.placement.0,
+            weight: match self.disabled.contains(Decision::Fair) {
                 true => 1.0,
-                false => holds.weight.0 / view.weight,
+                false => effective.weight.0 / view.weight,
             },
-            until: ends.filter(|&end| end > now).min().unwrap_or(Ms::MAX),
+            until: expiries.filter(|&end| end > now).min().unwrap_or(Ms::MAX),
         };
         self.rules.insert(key, rules);
         rules
     }
 
-    /// What a stage is predicted to take.
-    pub(crate) fn times(&self, arrival: &Arrival, stage: &crate::view::Stage) -> Times {
+    /// Predicts the duration of a stage.
+    pub(crate) fn estimate(&self, arrival: &Arrival, stage: &crate::view::Stage) -> TimeEstimate {
         let learned = &self.learned[stage.kind as usize];
-        learned.times(work(arrival, stage), stage.typical, stage.least)
+        learned.estimate(work(arrival, stage), stage.typical, stage.least)
     }
 
-    /// Judges whether a request's stages fit into the time that it has.
-    fn judge(&mut self, now: Ms, open: &mut Open) -> Result<(), No> {
-        if self.without.has(Decision::Admit) {
+    /// Checks whether a request's stages are expected to finish in the time that it has.
+    fn assess(&mut self, now: Ms, open: &mut OpenRequest) -> Result<(), Rejection> {
+        if self.disabled.contains(Decision::Admit) {
             return Ok(());
         }
         let left = open.arrival.deadline - now;
@@ -190,57 +204,68 @@
         let mut ahead = Vec::with_capacity(open.costs.len());
         for at in 0..open.costs.len() {
             let stage = &open.view.stages[open.pipeline][at];
-            let number = line(stage.kind, open.rules.placement);
-            let capacity = self.capacity(now, number);
+            let queue = queue_id(stage.kind, open.rules.placement);
+            let capacity = self.capacity(now, queue);
             if !capacity.possible {
-                return Err(No { code: Code::NoTarget, after: Some(SOON) });
+                return Err(Rejection {
+                    code: Code::NoTarget,
+                    retry_after: Some(DEFAULT_RETRY_AFTER),
+                });
             }
-            let time = self.times(&open.arrival, stage).mean;
+            let time = self.estimate(&open.arrival, stage).mean;
             let lane = open.lane(at);
-            let fair = &self.lines[number as usize].fair;
-            let (age, queued) = (fair.age(now, open.flow, lane), fair.queued());
-            let crossing = route::asked(&open.view.crossing, stage.engine, slack);
-            let ask = Ask { space: open.flow, weight: open.rules.weight, lane, later: at > 0 };
-            let wait = self.wait(number, capacity, &ask, crossing);
+            let fair = &self.queues[queue as usize].fair;
+            let (age, queued) = (fair.wait_by_age(now, open.flow, lane), fair.queued());
+            let crossing = route::min_gain(&open.view.crossing, stage.engine, slack);
+            let query = WaitQuery {
+                workspace: open.flow,
+                weight: open.rules.weight,
+                lane,
+                later_stage: at > 0,
+            };
+            let wait = self.wait(queue, capacity, &query, crossing);
             let all = queued as f64 / (capacity.near + capacity.far).max(1.0);
-            // Less urgent work is overtaken by what comes later. How old the front is shows by
-            // how much; but it is old at the end of a burst too, when little is left.
-            let wait = wait.max(age.min(all * OVERTAKEN));
+            // Less urgent work is overtaken by later arrivals. The age of the front shows by how
+            // much. But the front is old at the end of a burst too, when little work is left, so
+            // the wait is bounded.
+            let wait = wait.max(age.min(all * OVERTAKE_FACTOR));
             ahead.push(StageWait { time, wait });
         }
-        match judge(left, ahead.iter().copied()) {
-            Judged::Fits => Ok(()),
-            Judged::Late(by) => {
+        match assess(left, ahead.iter().copied()) {
+            Assessment::Fits => Ok(()),
+            Assessment::FitsLater(by) => {
                 let over = open.costs.iter().enumerate().any(|(at, _)| {
                     let kind = open.view.stages[open.pipeline][at].kind;
-                    let number = line(kind, open.rules.placement) as usize;
-                    self.lines[number].fair.over_share(open.flow)
+                    let queue = queue_id(kind, open.rules.placement) as usize;
+                    self.queues[queue].fair.over_share(open.flow)
                 });
                 let code = if over { Code::OverShare } else { Code::Overloaded };
-                Err(No { code, after: Some(by) })
+                Err(Rejection { code, retry_after: Some(by) })
             }
-            Judged::Hopeless => self.probe(now, open),
+            Assessment::Hopeless => self.probe(now, open),
         }
     }
 
-    /// Lets one in against the prediction now and then, so that a wrong one is found out.
-    fn probe(&mut self, now: Ms, open: &mut Open) -> Result<(), No> {
-        let first = line(open.stage().kind, open.rules.placement);
-        let line = &mut self.lines[first as usize];
-        if now < line.probe {
-            return Err(No { code: Code::Hopeless, after: None });
+    /// Occasionally admits a request against the prediction, so that a wrong prediction is
+    /// detected.
+    fn probe(&mut self, now: Ms, open: &mut OpenRequest) -> Result<(), Rejection> {
+        let first = queue_id(open.stage().kind, open.rules.placement);
+        let queue = &mut self.queues[first as usize];
+        if now < queue.next_probe {
+            return Err(Rejection { code: Code::Hopeless, retry_after: None });
         }
-        line.probe = now + PROBE;
-        open.forced = true;
+        queue.next_probe = now + PROBE_INTERVAL;
+        open.probe = true;
         Ok(())
     }
 
-    /// How long work waits in a line, ms, when a crossing must gain `crossing`, ms.
-    fn wait(&self, number: u32, capacity: Capacity, ask: &Ask, crossing: f64) -> f64 {
-        let fair = &self.lines[number as usize].fair;
-        let wait = |calls| fair.wait(ask, calls);
+    /// Predicted wait of work in a queue, ms, if a call to another region must gain at least
+    /// `crossing` ms.
+    fn wait(&self, queue: u32, capacity: Capacity, query: &WaitQuery, crossing: f64) -> f64 {
+        let fair = &self.queues[queue as usize].fair;
+        let wait = |calls| fair.wait(query, calls);
         match capacity {
-            Capacity { near, far, .. } if near + far <= 0.0 => SOON.0 as f64,
+            Capacity { near, far, .. } if near + far <= 0.0 => DEFAULT_RETRY_AFTER.0 as f64,
             Capacity { near, far, .. } if near <= 0.0 => wait(far),
             Capacity { near, far, .. } if far > 0.0 && wait(near) > crossing => {
                 wait(near + far).max(crossing)
@@ -249,21 +274,22 @@
         }
     }
 
-    /// Capacity of a queue's targets, taken again when it is too old.
-    pub(crate) fn capacity(&mut self, now: Ms, number: u32) -> Capacity {
-        if let Some(capacity) = self.lines[number as usize].capacity(now) {
+    /// Capacity of a queue's targets, measured again if the cached value is too old.
+    pub(crate) fn capacity(&mut self, now: Ms, queue: u32) -> Capacity {
+        if let Some(capacity) = self.queues[queue as usize].capacity(now) {
             return capacity;
         }
-        let capacity = measure(&self.lines, &self.targets, &self.context(now), number);
-        self.lines[number as usize].record(now, capacity);
+        let capacity = measure(&self.queues, &self.targets, &self.context(now), queue);
+        self.queues[queue as usize].record(now, capacity);
         capacity
     }
 }
 
-/// Refuses a request of which nothing was asked yet.
-fn turn_away(arrival: &Arrival, no: No, out: &mut Vec<Effect>) {
+/// Refuses a request for which nothing was sent or registered yet.
+fn refuse(arrival: &Arrival, rejection: Rejection, out: &mut Vec<Effect>) {
     let mut ledger = Ledger::default();
     ledger.refused_unregistered(arrival.resent);
-    let refusal = Refusal { code: no.code, ran: ledger.verdict(), retry_after: no.after };
+    let refusal =
+        Refusal { code: rejection.code, ran: ledger.verdict(), retry_after: rejection.retry_after };
     out.push(Effect::Answer { request: arrival.request, verdict: Verdict::Refused(refusal) });
 }
--- a/crates/policy/src/budget.rs
+++ b/crates/policy/src/budget.rs
@@ -1,28 +1,27 @@
-//! *Budget*: how one deadline is split over the stages.
+//! *Budget*: divides a request's deadline among its stages.
 //!
-//! Answers: one deadline over several stages.
+//! One deadline covers all stages of a request. Without a budget, the first stage may use up all
+//! the time, and the last stage starts when its result can only be late.
 //!
-//! Without it: the first stage may take all the time, and the last starts when its result can
-//! only be late.
-//!
-//! The time left is split again before each stage, so what one saves the next may use. A stage
-//! should end within its predicted time and its share of the slack; past that it counts as a
-//! straggler. It must end while the rest can still be done at its fastest: past that the request
-//! is given up on, and its target is free for one that can still be answered.
+//! The remaining time is divided again before each stage, so that later stages can use what an
+//! earlier one saved. A stage should end within its predicted time plus its share of the slack;
+//! beyond that it counts as a straggler. It must end while the remaining stages can still be
+//! completed at their fastest. Beyond that the request fails, which frees its target for a request
+//! that can still be answered in time.
 
 use base::Ms;
 
-/// Time that a stage has.
+/// Time limits of a stage.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 pub(crate) struct Budget {
-    /// Past this it is a straggler.
+    /// A stage that takes longer is a straggler.
     pub(crate) soft: Ms,
-    /// Past this the rest can't be done any more.
+    /// After a longer time the remaining stages can no longer be completed.
     pub(crate) hard: Ms,
 }
 
-/// Splits `left` between a stage predicted to take `own` ms and a rest predicted to take `rest`,
-/// and `least` at its fastest.
+/// Divides `left` between a stage predicted to take `own` ms and the remaining stages, which are
+/// predicted to take `rest` ms, or `least` ms at their fastest.
 pub(crate) fn split(left: Ms, own: f64, rest: f64, least: f64) -> Budget {
     let all = left.0 as f64;
     let slack = (all - own - rest).max(0.0);
--- a/crates/policy/src/decision.rs
+++ b/crates/policy/src/decision.rs
@@ -1,35 +1,35 @@
-//! The decisions by name, so that benchmarks can leave one out.
+//! The names of the decisions, so that benchmarks can disable them one by one.
 
 use serde::{Deserialize, Serialize};
 
-/// A decision under load. One that is left out is replaced by the plainest choice.
+/// A load management decision. A disabled decision is replaced by the simplest alternative.
 #[derive(Clone, Copy, Debug, PartialEq, Eq, PartialOrd, Ord, Hash, Serialize, Deserialize)]
 #[serde(rename_all = "snake_case")]
 pub enum Decision {
-    /// What is let in.
+    /// Which requests are admitted.
     Admit,
-    /// Which workspace goes next.
+    /// Which workspace is served next.
     Fair,
-    /// Which request of a workspace goes next, and how many wait.
+    /// Which request of a workspace is served next, and how many may wait.
     Queue,
-    /// How one deadline is split over the stages.
+    /// How a request's deadline is divided among its stages.
     Budget,
     /// Which target runs a stage.
     Route,
-    /// How many calls a target runs at once.
+    /// How many calls a target runs concurrently.
     Limit,
-    /// Whether a failed stage is tried again.
+    /// Whether a failed stage is retried.
     Retry,
-    /// Whether a slow stage is started a second time.
+    /// Whether a slow stage is started a second time on another target.
     Hedge,
-    /// Which requests are not run because they bring targets down.
+    /// Which requests are refused because they crash targets.
     Poison,
-    /// How fast a new or returned target gets its load.
+    /// How fast the load of a new or returned target is raised.
     Ramp,
 }
 
 impl Decision {
-    /// All of them.
+    /// All decisions.
     pub const ALL: [Self; 10] = [
         Self::Admit,
         Self::Fair,
@@ -43,7 +43,7 @@
         Self::Ramp,
     ];
 
-    /// Its name.
+    /// The decision's name in benchmarks.
     pub const fn as_str(self) -> &'static str {
         match self {
             Self::Admit => "admit",
@@ -60,17 +60,17 @@
     }
 }
 
-/// Which decisions are left out.
+/// The set of disabled decisions.
 #[derive(Clone, Copy, Debug, Default)]
-pub(crate) struct Without(u16);
+pub(crate) struct DisabledDecisions(u16);
 
-impl Without {
-    pub(crate) fn new(without: &[Decision]) -> Self {
-        Self(without.iter().fold(0, |bits, &d| bits | 1 << d as u16))
+impl DisabledDecisions {
+    pub(crate) fn new(disabled: &[Decision]) -> Self {
+        Self(disabled.iter().fold(0, |bits, &d| bits | 1 << d as u16))
     }
 
-    /// Whether a decision is left out.
-    pub(crate) fn has(self, decision: Decision) -> bool {
+    /// Whether a decision is disabled.
+    pub(crate) fn contains(self, decision: Decision) -> bool {
         self.0 & (1 << decision as u16) != 0
     }
 }
--- a/crates/policy/src/effect.rs
+++ b/crates/policy/src/effect.rs
@@ -1,67 +1,68 @@
-//! What the reducer asks of the host.
+//! What the reducer tells the host to do.
 
 use base::{Attempt, Ms, RequestId, TargetId};
 use serde::{Deserialize, Serialize};
 
 use crate::Ran;
 
-/// One effect. The host carries it out and reports what came of it as events.
+/// An output of the reducer. The host executes it and reports the outcome as events.
 #[derive(Clone, Debug, PartialEq, Serialize, Deserialize)]
 #[serde(rename_all = "snake_case")]
 pub enum Effect {
-    /// Record the request's key; nothing of it is sent before [`crate::Event::Registered`].
+    /// Record the request's idempotency key. Nothing of the request is sent before
+    /// [`crate::Event::Registered`].
     Register {
-        /// Which request.
+        /// The request.
         request: RequestId,
     },
     /// Send a stage to a target.
     Send {
-        /// Which request.
+        /// The request.
         request: RequestId,
         /// Index of the stage.
         stage: usize,
-        /// Which attempt.
+        /// The attempt.
         attempt: Attempt,
-        /// Where to.
+        /// Target to send to.
         target: TargetId,
-        /// Tokens held already: a stream goes on from here.
+        /// Number of tokens already received: a stream resumes from here.
         offset: u32,
-        /// Time the stage may take, ms.
+        /// Time limit of the stage, ms.
         budget: Ms,
     },
-    /// Stop an attempt: free the target, and drop what still comes from it.
+    /// Cancel an attempt: release the target and discard whatever it still sends.
     Cancel {
-        /// Which request.
+        /// The request.
         request: RequestId,
         /// Index of the stage.
         stage: usize,
-        /// Which attempt.
+        /// The attempt.
         attempt: Attempt,
     },
-    /// Give the caller its final answer, and forget the request.
+    /// Send the final answer to the caller and remove the request.
     Answer {
-        /// Which request.
+        /// The request.
         request: RequestId,
-        /// What the caller is told.
+        /// The answer.
         verdict: Verdict,
     },
-    /// Record how a registered request ended. Comes before its [`Effect::Answer`].
+    /// Record how a registered request ended. Precedes its [`Effect::Answer`].
     Finish {
-        /// Which request.
+        /// The request.
         request: RequestId,
-        /// How it ended.
+        /// How the request ended.
         ending: Ending,
     },
-    /// Tell the other hosts of a request that brings targets down.
+    /// Tell the other hosts about a request that crashes targets.
     Poison {
         /// Fingerprint of the request.
         fingerprint: u64,
-        /// How long to remember it.
+        /// Time until which the request is refused.
         until: Ms,
     },
     /// Send a [`crate::Event::Tick`] at this time.
     Wake {
-        /// When.
+        /// Time of the tick.
         at: Ms,
     },
 }
@@ -70,65 +71,65 @@
 #[derive(Clone, Copy, Debug, PartialEq, Eq, Serialize, Deserialize)]
 #[serde(rename_all = "snake_case")]
 pub enum Ending {
-    /// With a whole answer, which is kept.
+    /// With a complete answer, which is stored.
     Done,
-    /// Nothing that may not be repeated was sent: the key may be granted again.
+    /// No non-repeatable work was sent: the key may be granted again.
     Released,
-    /// Work that may not be repeated was sent and its outcome can't be told.
+    /// Non-repeatable work was sent and its outcome is unknown.
     Lost,
 }
 
-/// What a caller is told.
+/// The final answer to a caller.
 #[derive(Clone, Copy, Debug, PartialEq, Eq, Serialize, Deserialize)]
 #[serde(rename_all = "snake_case")]
 pub enum Verdict {
-    /// The whole answer, from the last stage's result.
+    /// The complete result of the last stage.
     Done,
-    /// The answer that the journal kept from an earlier run.
+    /// The answer that the journal stored in an earlier run.
     Replayed,
     /// An error.
     Refused(Refusal),
 }
 
-/// An error, and whether anything ran.
+/// An error, and whether any part of the request ran.
 #[derive(Clone, Copy, Debug, PartialEq, Eq, Serialize, Deserialize)]
 pub struct Refusal {
-    /// What went wrong.
+    /// The error code.
     pub code: Code,
-    /// Whether anything of the request ran.
+    /// Whether any part of the request ran.
     pub ran: Ran,
-    /// When coming back makes sense, ms from now; none when it never does.
+    /// Delay after which a retry may succeed, ms; `None` if retrying never helps.
     pub retry_after: Option<Ms>,
 }
 
-/// What went wrong, as callers see it.
+/// Error code reported to callers.
 #[derive(Clone, Copy, Debug, PartialEq, Eq, PartialOrd, Ord, Hash, Serialize, Deserialize)]
 #[serde(rename_all = "snake_case")]
 pub enum Code {
-    /// No room within the deadline.
+    /// There is no capacity within the deadline.
     Overloaded,
-    /// The workspace is past its share while others wait.
+    /// The workspace exceeds its share while others wait.
     OverShare,
-    /// The time left is shorter than the stages can take.
+    /// The remaining time is shorter than the predicted time of the stages.
     Hopeless,
-    /// The deadline passed while the request was under way.
+    /// The deadline passed while the request was in progress.
     DeadlinePassed,
-    /// No target may run a stage now.
+    /// No target is available for a stage.
     NoTarget,
-    /// A stage failed and can't be tried again.
+    /// A stage failed and can't be retried.
     StageFailed,
-    /// The request brings down the targets that run it.
+    /// The request crashes the targets that run it.
     Poison,
-    /// Work that may not be repeated was sent and its outcome can't be told.
+    /// Non-repeatable work was sent and its outcome is unknown.
     OutcomeUnknown,
-    /// The same key is running elsewhere.
+    /// A request with the same key is running elsewhere.
     Running,
-    /// The key is older than the window or from the future.
+    /// The key is older than the retention window, or its time stamp is in the future.
     KeyExpired,
-    /// The record of a key could not be made.
+    /// The key could not be recorded.
     JournalUnavailable,
-    /// This host is stopping.
+    /// This host is shutting down.
     Draining,
-    /// The caller has gone.
+    /// The caller disconnected.
     CallerGone,
 }
--- a/crates/policy/src/event.rs
+++ b/crates/policy/src/event.rs
@@ -1,176 +1,182 @@
-//! What can happen to an entry host that bears on a decision.
+//! Everything that happens to an entry host and can affect a decision.
 
 use base::{Attempt, DomainId, Ms, PipelineId, PoolId, RequestId, TargetId, WorkspaceId};
 use conf::{Plan, Priority};
 use serde::{Deserialize, Serialize};
 use std::sync::Arc;
 
-/// One event. All state of the reducer changes through these alone.
+/// An input of the reducer. The reducer's state changes only through events.
 #[derive(Clone, Debug, Serialize, Deserialize)]
 #[serde(rename_all = "snake_case")]
 pub enum Event {
-    /// A configuration came into force. Requests under way keep the plan they arrived under.
+    /// A configuration took effect. Requests in progress keep the plan under which they arrived.
     Config(Arc<Plan>),
-    /// A caller's request was read whole.
+    /// A request was received in full.
     Arrive(Arrival),
     /// The journal answered an [`crate::Effect::Register`].
     Registered {
-        /// Which request.
+        /// The request.
         request: RequestId,
-        /// What the journal said.
+        /// The journal's answer.
         grant: Grant,
     },
-    /// The first byte of an attempt was handed to a socket. Comes before anything else of it.
+    /// The first byte of an attempt was written to a socket. Precedes all other events of the
+    /// attempt.
     Sent {
-        /// Which request.
+        /// The request.
         request: RequestId,
         /// Index of the stage.
         stage: usize,
-        /// Which attempt.
+        /// The attempt.
         attempt: Attempt,
     },
-    /// A piece of a stream was taken.
+    /// A chunk of a stream was accepted.
     Piece {
-        /// Which request.
+        /// The request.
         request: RequestId,
         /// Index of the stage.
         stage: usize,
-        /// Which attempt.
+        /// The attempt.
         attempt: Attempt,
-        /// Tokens of this stage that are held now, this piece included.
+        /// Number of tokens of this stage received so far, including this chunk.
         offset: u32,
     },
-    /// A stage's result was taken whole.
+    /// A stage's complete result was received.
     Done {
-        /// Which request.
+        /// The request.
         request: RequestId,
         /// Index of the stage.
         stage: usize,
-        /// Which attempt.
+        /// The attempt.
         attempt: Attempt,
-        /// What the target says it used.
+        /// Usage reported by the target.
         usage: Usage,
     },
     /// An attempt ended without a result.
     Failed {
-        /// Which request.
+        /// The request.
         request: RequestId,
         /// Index of the stage.
         stage: usize,
-        /// Which attempt.
+        /// The attempt.
         attempt: Attempt,
-        /// Why.
+        /// Reason of the failure.
         fault: Fault,
     },
-    /// The caller has gone.
+    /// The caller disconnected.
     Gone {
-        /// Which request.
+        /// The request.
         request: RequestId,
     },
-    /// A target's report of its load, which may be old.
+    /// A load report of a target. It may be out of date.
     Load {
-        /// Which target.
+        /// The target.
         target: TargetId,
-        /// Requests it runs.
+        /// Number of requests that the target is running.
         running: u32,
-        /// Requests that wait there.
+        /// Number of requests queued at the target.
         queued: u32,
-        /// When it was true.
+        /// Time at which the report was taken.
         at: Ms,
     },
-    /// The load of a pool in another failure domain, as an aggregate.
+    /// The aggregate load of a pool in another failure domain.
     DomainLoad {
-        /// Which failure domain.
+        /// The failure domain.
         domain: DomainId,
-        /// Which pool.
+        /// The pool.
         pool: PoolId,
-        /// Requests its targets run.
+        /// Number of requests that the pool's targets are running.
         running: u32,
-        /// Requests that wait there.
+        /// Number of requests queued at the pool's targets.
         queued: u32,
-        /// Requests that its targets run at once.
+        /// Number of requests that the pool's targets can run concurrently.
         slots: u32,
-        /// When it was true.
+        /// Time at which the report was taken.
         at: Ms,
     },
-    /// An engine's cache took or dropped a prompt prefix. Late, and some never come.
+    /// An engine's cache stored or evicted a prompt prefix. These events arrive late, and some are
+    /// lost.
     Cache {
-        /// Which engine.
+        /// The engine.
         target: TargetId,
-        /// The engine's own count of its events.
+        /// Sequence number that the engine gave to the event.
         seq: u64,
         /// Hash of the prefix.
         prefix: u64,
-        /// True when it came in, false when it went.
+        /// True if the prefix was stored, false if it was evicted.
         stored: bool,
     },
-    /// A target is leaving, or has come back.
+    /// A target is being taken out of service, or has returned to service.
     Leaving {
-        /// Which target.
+        /// The target.
         target: TargetId,
-        /// False when it has come back.
+        /// False if the target has returned to service.
         leaving: bool,
     },
-    /// Another host gave up on a request that brings targets down.
+    /// Another host identified a request that crashes targets.
     Poisoned {
         /// Fingerprint of the request.
         fingerprint: u64,
-        /// How long to remember it.
+        /// Time until which the request is refused.
         until: Ms,
     },
-    /// How many live hosts there are in this failure domain, this one included.
+    /// The number of live hosts in this failure domain changed.
     Hosts {
-        /// Their number, at least 1.
+        /// Number of live hosts, including this one; at least 1.
         live: u32,
     },
-    /// This host is stopping: nothing new is let in, what is open is finished.
+    /// This host is shutting down: it refuses new requests and finishes those in progress.
     Drain,
-    /// Time has passed. Comes at least every 100 ms, and at each [`crate::Effect::Wake`].
+    /// Time has passed. Sent at least every 100 ms, and at the time of each
+    /// [`crate::Effect::Wake`].
     Tick,
 }
 
-/// A request as the decisions see it.
+/// The properties of a request that decisions depend on.
 #[derive(Clone, Debug, PartialEq, Serialize, Deserialize)]
 pub struct Arrival {
-    /// Its identifier on this host.
+    /// Identifier of the request on this host.
     pub request: RequestId,
-    /// Whose it is. Declared in the plan in force, or the request wouldn't come this far.
+    /// The workspace that sent the request. It exists in the current plan: requests of unknown
+    /// workspaces are refused earlier.
     pub workspace: WorkspaceId,
-    /// What is asked for. Declared in the plan in force.
+    /// The requested pipeline. It exists in the current plan.
     pub pipeline: PipelineId,
-    /// The caller's priority, if it gave one.
+    /// The priority set by the caller, if any.
     pub priority: Option<Priority>,
-    /// When the answer is due.
+    /// Time by which the answer is due.
     pub deadline: Ms,
-    /// Tokens of the input, estimated.
+    /// Estimated number of input tokens.
     pub tokens_in: u32,
-    /// Most tokens to generate; zero leaves it to the pipeline.
+    /// Maximum number of tokens to generate; zero means the pipeline's default.
     pub max_tokens: u32,
-    /// Hash of the caller's prefix key; zero for none.
+    /// Hash of the caller's prefix key; zero if there is none.
     pub prefix: u64,
-    /// Hash of workspace, pipeline and input: the same request sent again has the same.
+    /// Hash of workspace, pipeline and input. A request that is sent again has the same
+    /// fingerprint.
     pub fingerprint: u64,
-    /// Whether it carries an idempotency key, and so must be registered before it runs.
+    /// Whether the request carries an idempotency key. Such a request must be registered before it
+    /// runs.
     pub keyed: bool,
-    /// Whether the caller says that it sent this key before.
+    /// Whether the caller states that it has sent this key before.
     pub resent: bool,
 }
 
-/// What the journal says of a key.
+/// The journal's answer to the registration of an idempotency key.
 #[derive(Clone, Copy, Debug, PartialEq, Eq, Serialize, Deserialize)]
 #[serde(rename_all = "snake_case")]
 pub enum Grant {
-    /// Recorded: this attempt, and no other, may run it.
+    /// The key is recorded, and only this attempt may run it.
     Granted,
-    /// It ran; the kept answer is at hand.
+    /// The key has already run, and its stored answer is available.
     Answered,
-    /// Another attempt holds it and may be running.
+    /// Another attempt holds the key and may be running.
     Running,
-    /// It started and its outcome can't be told.
+    /// The key was started and its outcome is unknown.
     Unknown,
-    /// The record could not be made; nothing runs.
+    /// The key could not be recorded, so nothing may run.
     Unavailable,
-    /// The key is older than the window, or from the future.
+    /// The key is older than the retention window, or its time stamp is in the future.
     Expired,
 }
 
@@ -178,47 +184,47 @@
 #[derive(Clone, Copy, Debug, PartialEq, Eq, Hash, Serialize, Deserialize)]
 #[serde(rename_all = "snake_case")]
 pub enum Fault {
-    /// No connection could be made. Nothing was sent.
+    /// The connection could not be established. Nothing was sent.
     Connect,
-    /// The target said that it has no room and didn't run it.
+    /// The target reported that it has no capacity and did not run the attempt.
     Full,
-    /// The target said that the call itself is wrong.
+    /// The target rejected the call as invalid.
     Rejected,
-    /// The target said that it failed.
+    /// The target reported an internal failure.
     Error,
-    /// The connection broke while the target owed an answer: it may have crashed.
+    /// The connection was closed while an answer was pending: the target may have crashed.
     Broken,
-    /// The connection went silent though the target answers on a new one.
+    /// The connection stopped responding, but the target answers on a new connection.
     Silent,
-    /// The target is silent on new connections too.
+    /// The target does not respond on new connections either.
     Dead,
-    /// The answer belonged to another request, stage or attempt, or made no sense.
+    /// The answer belonged to another request, stage or attempt, or was malformed.
     Mismatch,
-    /// The answer is larger than the limit.
+    /// The answer exceeds the size limit.
     TooLarge,
 }
 
 impl Fault {
-    /// Whether the target surely did not run the attempt.
+    /// Whether it is certain that the target did not run the attempt.
     pub const fn not_run(self) -> bool {
         matches!(self, Self::Connect | Self::Full)
     }
 
-    /// Whether it speaks against the target's health.
-    pub const fn blames(self) -> bool {
+    /// Whether the fault indicates that the target is unhealthy.
+    pub const fn counts_against_target(self) -> bool {
         matches!(self, Self::Connect | Self::Error | Self::Broken | Self::Dead)
     }
 }
 
-/// What a stage used.
+/// Resources used by a stage.
 #[derive(Clone, Copy, Debug, Default, PartialEq, Eq, Serialize, Deserialize)]
 pub struct Usage {
-    /// Tokens read.
+    /// Input tokens.
     pub tokens_in: u32,
-    /// Tokens generated.
+    /// Generated tokens.
     pub tokens_out: u32,
-    /// Tokens read that a cached prefix saved.
+    /// Input tokens that were served from the prefix cache.
     pub cached: u32,
-    /// Bytes both ways.
+    /// Bytes sent and received.
     pub bytes: u64,
 }
--- a/crates/policy/src/finish.rs
+++ b/crates/policy/src/finish.rs
@@ -1,58 +1,69 @@
-//! A request ends.
+//! Ends requests, with a result or an error.
 
 use base::{Ms, RequestId};
 
-use crate::arrive::No;
-use crate::life::{Phase, Step};
+use crate::arrive::Rejection;
+use crate::lifecycle::{Phase, Step};
 use crate::state::State;
-use crate::view::line;
+use crate::view::queue_id;
 use crate::{Code, Effect, Ending, Ran, Refusal, Verdict};
 
 impl State {
-    /// The caller has gone. Work that may not be repeated goes on without its caller, so that a
-    /// re-send of the key gets the answer and not `unknown`. A key that is being recorded is
-    /// waited for, or its record would stay granted with nobody to run it.
-    pub(crate) fn gone(&mut self, now: Ms, request: RequestId, out: &mut Vec<Effect>) {
+    /// The caller has disconnected. Non-repeatable work continues without its caller, so that a
+    /// re-send of the key gets the answer and not `unknown`. If the key is being registered, the
+    /// answer of the journal is awaited, or the key would stay granted without anybody running it.
+    pub(crate) fn caller_gone(&mut self, now: Ms, request: RequestId, out: &mut Vec<Effect>) {
         let Some(open) = self.open.get_mut(&request) else { return };
-        open.gone = true;
-        if !open.once_begun() && !open.is(Phase::Registering {}) {
-            self.give_up(now, request, No { code: Code::CallerGone, after: None }, out);
+        open.caller_gone = true;
+        if !open.non_repeatable_begun() && !open.in_phase(Phase::Registering {}) {
+            self.give_up(
+                now,
+                request,
+                Rejection { code: Code::CallerGone, retry_after: None },
+                out,
+            );
         }
     }
 
-    /// A request's time has run out.
-    pub(crate) fn too_late(&mut self, now: Ms, request: RequestId, out: &mut Vec<Effect>) {
+    /// The time of a request has run out.
+    pub(crate) fn time_out(&mut self, now: Ms, request: RequestId, out: &mut Vec<Effect>) {
         let Some(open) = self.open.get_mut(&request) else { return };
-        if open.is(Phase::Registering {}) {
+        if open.in_phase(Phase::Registering {}) {
             open.ledger.refused_unregistered(open.arrival.resent);
         }
-        let fresh = open.is(Phase::Waiting {}) && open.ledger.verdict() == Ran::No;
-        let (number, runs) = (open.line(), open.runs.clone());
+        let not_started = open.in_phase(Phase::Waiting {}) && open.ledger.verdict() == Ran::No;
+        let (queue, runs) = (open.queue_id(), open.runs.clone());
         for run in runs {
-            self.learn(now, request, run, false);
+            self.record_time(now, request, run, false);
         }
-        let code = if fresh { Code::Overloaded } else { Code::DeadlinePassed };
-        let after = Some(self.drain(now, number));
-        self.give_up(now, request, No { code, after }, out);
+        let code = if not_started { Code::Overloaded } else { Code::DeadlinePassed };
+        let retry_after = Some(self.drain_time(now, queue));
+        self.give_up(now, request, Rejection { code, retry_after }, out);
     }
 
-    /// Answers a request with an error, at once.
-    pub(crate) fn give_up(&mut self, now: Ms, request: RequestId, no: No, out: &mut Vec<Effect>) {
+    /// Answers a request with an error immediately.
+    pub(crate) fn give_up(
+        &mut self,
+        now: Ms,
+        request: RequestId,
+        rejection: Rejection,
+        out: &mut Vec<Effect>,
+    ) {
         let Some(open) = self.open.get(&request) else { return };
-        if no.code == Code::Poison {
+        if rejection.code == Code::Poison {
             let fingerprint = open.arrival.fingerprint;
             let until = now + open.view.plan.fleet.defaults.poison_ms;
-            self.poison.convict(fingerprint, until);
+            self.poison.block(fingerprint, until);
             out.push(Effect::Poison { fingerprint, until });
         }
         for run in &open.runs {
             out.push(Effect::Cancel { request, stage: open.stage, attempt: run.attempt });
         }
         if open.registered {
-            let ending = if open.once_begun() { Ending::Lost } else { Ending::Released };
+            let ending = if open.non_repeatable_begun() { Ending::Lost } else { Ending::Released };
             out.push(Effect::Finish { request, ending });
         }
-        let refusal = self.refusal(request, no.code, no.after);
+        let refusal = self.refusal(request, rejection.code, rejection.retry_after);
         self.end(now, request, Verdict::Refused(refusal), out);
     }
 
@@ -66,7 +77,7 @@
         Refusal { code, ran, retry_after }
     }
 
-    /// Answers a request and forgets it; what it held goes to others.
+    /// Answers a request, removes it, and passes the capacity that it held to waiting requests.
     pub(crate) fn end(
         &mut self,
         now: Ms,
@@ -74,7 +85,7 @@
         verdict: Verdict,
         out: &mut Vec<Effect>,
     ) {
-        self.leave_line(request, false);
+        self.dequeue(request, false);
         let Some(open) = self.open.get(&request) else { return };
         let runs = open.runs.clone();
         for &run in &runs {
@@ -84,12 +95,12 @@
         open.step(Step::End);
         self.timers.remove(&(open.due, request));
         for at in open.released..open.costs.len() {
-            let number = line(open.stages()[at].kind, open.rules.placement);
-            self.lines[number as usize].fair.release(open.flow, open.lane(at), open.costs[at]);
+            let queue = queue_id(open.stages()[at].kind, open.rules.placement);
+            self.queues[queue as usize].fair.release(open.flow, open.lane(at), open.costs[at]);
         }
         out.push(Effect::Answer { request, verdict });
         for run in runs {
-            self.pump_target(now, run.target, out);
+            self.dispatch_target(now, run.target, out);
         }
     }
 }
--- a/crates/policy/src/health.rs
+++ b/crates/policy/src/health.rs
@@ -1,4 +1,4 @@
-//! The life of a target: open, climbing, suspect, leaving.
+//! The lifecycle of a target: healthy, ramping, suspect, leaving.
 
 use base::Ms;
 use statig::prelude::*;
@@ -6,100 +6,105 @@
 use crate::Fault;
 use crate::ramp::RampUp;
 
-/// Faults in a row that make a target suspect. One may be the request's.
-const FAULTS: u32 = 3;
-/// First time out, doubled with each further one.
-const OUT: Ms = Ms(500);
-/// Longest time out: a target that is back is found within it.
-const OUT_MOST: Ms = Ms(8_000);
+/// Number of consecutive faults that make a target suspect. A single fault may be caused by the
+/// request.
+const SUSPECT_FAULTS: u32 = 3;
+/// Duration of the first backoff. It doubles with each further one.
+const FIRST_BACKOFF: Ms = Ms(500);
+/// Longest backoff. A target that has recovered is detected within this time.
+const MAX_BACKOFF: Ms = Ms(8_000);
 
-/// What is learned of a target's health.
+/// Events that affect a target's health.
 #[derive(Clone, Copy, Debug)]
 pub(crate) enum HealthSignal {
-    /// It gave a result.
-    Good,
+    /// It returned a result.
+    Success,
     /// It failed.
-    Bad(Fault),
-    /// It is leaving.
+    Failure(Fault),
+    /// It is being taken out of service.
     Leaving,
-    /// It is new.
-    Fresh,
-    /// It has come back.
-    Back,
+    /// It was added by a configuration.
+    Added,
+    /// It has returned to service.
+    Returned,
 }
 
-/// When a signal came, and how long a climb takes.
+/// Time of a signal, and the duration of a ramp-up.
 #[derive(Clone, Copy, Debug)]
-pub(crate) struct When {
+pub(crate) struct PhaseContext {
     pub(crate) now: Ms,
-    pub(crate) span: Ms,
+    pub(crate) ramp_time: Ms,
 }
 
 /// How much of its load a target may get.
 #[derive(Clone, Copy, Debug, PartialEq)]
 pub(crate) enum Gate {
     /// Nothing.
-    Shut,
-    /// One call, to see whether it is well.
+    Closed,
+    /// A single call, to find out whether it has recovered.
     Probe,
-    /// This share, above 0 to 1.
+    /// This share of its load, above 0 and up to 1.
     Share(f64),
 }
 
-/// What outlives the phases.
+/// State that is kept across the phases.
 #[derive(Debug, Default)]
 pub(crate) struct Health {
     faults: u32,
-    outs: u32,
+    outages: u32,
 }
 
-/// The life itself.
-pub(crate) type Life = InitializedStateMachine<Health>;
+/// The state machine of one target.
+pub(crate) type Lifecycle = InitializedStateMachine<Health>;
 
-/// Starts a target's life in full use.
-pub(crate) fn life() -> Life {
+/// Creates the state machine of a target that gets its full load.
+pub(crate) fn start() -> Lifecycle {
     Health::default()
         .uninitialized_state_machine()
-        .init_with_context(&mut When { now: Ms::ZERO, span: Ms::ZERO })
+        .init_with_context(&mut PhaseContext { now: Ms::ZERO, ramp_time: Ms::ZERO })
 }
 
 impl Phase {
-    /// What a target in this phase may get.
-    pub(crate) fn gate(&self, when: When) -> Gate {
+    /// How much load a target in this phase may get.
+    pub(crate) fn gate(&self, context: PhaseContext) -> Gate {
         match self {
-            Self::Open {} => Gate::Share(1.0),
-            Self::Climbing { climb } => {
-                Gate::Share(climb.share(when.now, when.span).unwrap_or(1.0))
+            Self::Healthy {} => Gate::Share(1.0),
+            Self::Ramping { ramp } => {
+                Gate::Share(ramp.share(context.now, context.ramp_time).unwrap_or(1.0))
             }
-            Self::Suspect { until } if when.now >= *until => Gate::Probe,
-            Self::Suspect { .. } | Self::Leaving {} => Gate::Shut,
+            Self::Suspect { until } if context.now >= *until => Gate::Probe,
+            Self::Suspect { .. } | Self::Leaving {} => Gate::Closed,
         }
     }
 }
 
 #[state_machine(
-    initial = "Phase::open()",
+    initial = "Phase::healthy()",
     state(name = "Phase", derive(Debug, Clone, Copy, PartialEq)),
     event_identifier = "signal",
-    context_identifier = "when"
+    context_identifier = "context"
 )]
 impl Health {
     #[state(superstate = "serving")]
-    fn open(when: &mut When, signal: &HealthSignal) -> Outcome<Phase> {
+    fn healthy(context: &mut PhaseContext, signal: &HealthSignal) -> Outcome<Phase> {
         match signal {
-            HealthSignal::Fresh => Transition(Phase::climbing(RampUp::new(when.now))),
+            HealthSignal::Added => Transition(Phase::ramping(RampUp::new(context.now))),
             _ => Super,
         }
     }
 
     #[state(superstate = "serving")]
-    fn climbing(climb: &mut RampUp, when: &mut When, signal: &HealthSignal) -> Outcome<Phase> {
+    fn ramping(
+        ramp: &mut RampUp,
+        context: &mut PhaseContext,
+        signal: &HealthSignal,
+    ) -> Outcome<Phase> {
         match signal {
-            HealthSignal::Good if climb.share(when.now, when.span).is_none() => {
-                Transition(Phase::open())
+            HealthSignal::Success if ramp.share(context.now, context.ramp_time).is_none() => {
+                Transition(Phase::healthy())
             }
-            HealthSignal::Bad(_) => {
-                *climb = climb.hold(when.now, when.span);
+            HealthSignal::Failure(_) => {
+                *ramp = ramp.restart_step(context.now, context.ramp_time);
                 Super
             }
             _ => Super,
@@ -110,59 +115,61 @@
     fn suspect(
         &mut self,
         until: &mut Ms,
-        when: &mut When,
+        context: &mut PhaseContext,
         signal: &HealthSignal,
     ) -> Outcome<Phase> {
         match signal {
-            HealthSignal::Good => {
+            HealthSignal::Success => {
                 self.faults = 0;
-                Transition(Phase::climbing(RampUp::last(when.now, when.span)))
+                Transition(Phase::ramping(RampUp::at_last_step(context.now, context.ramp_time)))
             }
-            // Calls sent before it became suspect still fail; only a probe's fault counts.
-            HealthSignal::Bad(_) if when.now >= *until => {
-                *until = when.now + self.out();
+            // Calls sent before the target became suspect may still fail. Only the fault of a probe
+            // counts.
+            HealthSignal::Failure(_) if context.now >= *until => {
+                *until = context.now + self.backoff();
                 Handled
             }
-            HealthSignal::Bad(_) => Handled,
+            HealthSignal::Failure(_) => Handled,
             HealthSignal::Leaving => Transition(Phase::leaving()),
-            HealthSignal::Fresh | HealthSignal::Back => {
-                Transition(Phase::climbing(RampUp::new(when.now)))
+            HealthSignal::Added | HealthSignal::Returned => {
+                Transition(Phase::ramping(RampUp::new(context.now)))
             }
         }
     }
 
     #[state]
-    fn leaving(when: &mut When, signal: &HealthSignal) -> Outcome<Phase> {
+    fn leaving(context: &mut PhaseContext, signal: &HealthSignal) -> Outcome<Phase> {
         match signal {
-            HealthSignal::Back => Transition(Phase::climbing(RampUp::new(when.now))),
+            HealthSignal::Returned => Transition(Phase::ramping(RampUp::new(context.now))),
             _ => Handled,
         }
     }
 
     #[superstate]
-    fn serving(&mut self, when: &mut When, signal: &HealthSignal) -> Outcome<Phase> {
+    fn serving(&mut self, context: &mut PhaseContext, signal: &HealthSignal) -> Outcome<Phase> {
         match signal {
-            HealthSignal::Good => {
+            HealthSignal::Success => {
                 self.faults = 0;
-                self.outs = 0;
+                self.outages = 0;
                 Handled
             }
-            HealthSignal::Bad(fault) => {
+            HealthSignal::Failure(fault) => {
                 self.faults += 1;
-                let enough = self.faults >= FAULTS || matches!(fault, Fault::Dead | Fault::Broken);
+                let enough =
+                    self.faults >= SUSPECT_FAULTS || matches!(fault, Fault::Dead | Fault::Broken);
                 match enough {
-                    true => Transition(Phase::suspect(when.now + self.out())),
+                    true => Transition(Phase::suspect(context.now + self.backoff())),
                     false => Handled,
                 }
             }
             HealthSignal::Leaving => Transition(Phase::leaving()),
-            HealthSignal::Fresh | HealthSignal::Back => Handled,
+            HealthSignal::Added | HealthSignal::Returned => Handled,
         }
     }
 
-    fn out(&mut self) -> Ms {
-        let out = Ms(OUT.0 << self.outs.min(8)).min(OUT_MOST);
-        self.outs += 1;
-        out
+    fn backoff(&mut self) -> Ms {
+        let backoff = Ms(FIRST_BACKOFF.0 << self.outages.min(8)).min(MAX_BACKOFF);
+        self.outages += 1;
+        backoff
     }
 }
--- a/crates/policy/src/hedge.rs
+++ b/crates/policy/src/hedge.rs
@@ -1,29 +1,28 @@
-//! *Hedge*: whether a slow stage is started a second time.
+//! *Hedge*: starts a slow stage a second time on another target.
 //!
-//! Answers: stragglers.
+//! Some calls take much longer than others of the same size. Without hedging, if each of six stages
+//! is late once in a hundred times, one request in seventeen waits for a straggler.
 //!
-//! Without it: of six stages each is late once in a hundred times, and one request in seventeen
-//! waits for a straggler.
-//!
-//! A stage that has taken longer than nineteen in twenty of its size do, or that is past its part
-//! of the deadline, is started on another target, and the first that gives something wins; the
-//! other is cancelled at once. Only stages that may be repeated, never twice, and not while
-//! anything waits for the same targets: under saturation everything is slow, and a second start
-//! makes it slower. Hedges are paid from a budget that first sends fill, at the usual share one
-//! in twenty, which is just what the quantile lets through.
+//! A stage is hedged once it has taken longer than 95 % of the stages of its size, or longer than
+//! its share of the deadline. The first attempt that returns anything wins, and the other is
+//! cancelled at once. Only repeatable stages are hedged, at most once, and never while anything is
+//! queued for the same targets: under saturation everything is slow, and duplicate work makes it
+//! slower. Hedges draw on a budget that each first attempt adds to. The default share is one hedge
+//! in twenty first attempts, which matches the fraction of stages beyond the quantile.
 
 use base::Ms;
 
-/// Hedges that may be saved up.
-pub(crate) const BURST: f64 = 10.0;
-/// Earliest time after which a stage is called slow: below this, timers and links decide.
-const LEAST: Ms = Ms(20);
-/// Time after which a hedge that couldn't be made is looked at again.
-pub(crate) const AGAIN: Ms = Ms(50);
+/// Maximum number of hedges that can be accumulated.
+pub(crate) const HEDGE_BURST: f64 = 10.0;
+/// Minimum time before a stage is considered slow. Below this, timer resolution and network latency
+/// dominate.
+const MIN_DELAY: Ms = Ms(20);
+/// Interval after which a hedge that was not possible is tried again.
+pub(crate) const RECHECK_INTERVAL: Ms = Ms(50);
 
-/// How long after its start a stage is a straggler: past the learned quantile `high`, or past its
-/// part of the deadline, `soft`, if that is sooner. Before a quantile is learned nothing is.
-pub(crate) fn after(high: Option<f64>, soft: Option<Ms>) -> Option<Ms> {
+/// Time after which a running stage is a straggler: the learned quantile `high`, or its share of
+/// the deadline, `soft`, if that is shorter. Returns `None` until a quantile has been learned.
+pub(crate) fn delay(high: Option<f64>, soft: Option<Ms>) -> Option<Ms> {
     let high = Ms(high?.ceil() as u64);
-    Some(soft.map_or(high, |soft| soft.min(high)).max(LEAST))
+    Some(soft.map_or(high, |soft| soft.min(high)).max(MIN_DELAY))
 }
--- a/crates/policy/src/life.rs
+++ b/crates/policy/src/lifecycle.rs
@@ -1,40 +1,40 @@
-//! The life of a request: registering, waiting, running, ended.
+//! The lifecycle of a request: registering, waiting, running, ended.
 
 use statig::prelude::*;
 
-/// What happens to a request.
+/// Events in the lifecycle of a request.
 #[derive(Clone, Copy, Debug)]
 pub(crate) enum Step {
-    /// Its key is to be recorded.
+    /// Its idempotency key is being recorded.
     Register,
-    /// A stage waits for a target.
+    /// A stage is queued for a target.
     Wait,
     /// A stage was sent.
     Send,
-    /// It was answered.
+    /// The request was answered.
     End,
 }
 
-/// A request has nothing beside its phase.
+/// Storage of the state machine. A request has no state here other than its phase.
 #[derive(Debug, Default)]
 pub(crate) struct Request;
 
-/// The life itself.
-pub(crate) type Life = InitializedStateMachine<Request>;
+/// The state machine of one request.
+pub(crate) type Lifecycle = InitializedStateMachine<Request>;
 
-/// Starts a request's life: let in, and nothing asked of anyone.
-pub(crate) fn life() -> Life {
+/// Creates the state machine of a request that was admitted, with nothing registered or sent yet.
+pub(crate) fn start() -> Lifecycle {
     Request.uninitialized_state_machine().init()
 }
 
 #[state_machine(
-    initial = "Phase::fresh()",
+    initial = "Phase::admitted()",
     state(name = "Phase", derive(Debug, Clone, Copy, PartialEq, Eq)),
     event_identifier = "step"
 )]
 impl Request {
     #[state(superstate = "open")]
-    fn fresh(step: &Step) -> Outcome<Phase> {
+    fn admitted(step: &Step) -> Outcome<Phase> {
         match step {
             Step::Register => Transition(Phase::registering()),
             Step::Wait => Transition(Phase::waiting()),
--- a/crates/policy/src/naive.rs
+++ b/crates/policy/src/naive.rs
@@ -1,7 +1,8 @@
-//! The baseline: first come first served, round robin, no limits.
+//! The baseline policy: first come first served, round robin, no limits.
 //!
-//! It keeps the promises (at most once, `ran` told truly, leaving targets get nothing) and makes
-//! no other decision. Benchmarks and differential tests compare against it.
+//! It keeps the guarantees (non-repeatable work is sent at most once, `ran` is reported correctly,
+//! targets that are leaving service get no work) and makes no other decision. Benchmarks and
+//! differential tests compare the full policy with it.
 
 use base::{Attempt, Ms, PoolId, RequestId, TargetId};
 use conf::{Plan, PlanStage};
@@ -12,21 +13,21 @@
     Arrival, Code, Effect, Ending, Event, Fault, Grant, Ledger, Ran, Reducer, Refusal, Verdict,
 };
 
-/// Tries of one stage before the request is given up on.
-const TRIES: u32 = 3;
+/// Attempts per stage before the request fails.
+const MAX_TRIES: u32 = 3;
 
-/// The baseline's state.
+/// State of the baseline policy.
 #[derive(Debug, Default)]
 pub struct Naive {
     plan: Option<Arc<Plan>>,
-    open: BTreeMap<RequestId, Open>,
+    open: BTreeMap<RequestId, OpenRequest>,
     leaving: HashSet<TargetId>,
     turns: HashMap<PoolId, usize>,
     draining: bool,
 }
 
 #[derive(Debug)]
-struct Open {
+struct OpenRequest {
     arrival: Arrival,
     plan: Arc<Plan>,
     pipeline: usize,
@@ -35,16 +36,16 @@
     tries: u32,
     offset: u32,
     registered: bool,
-    /// The attempt was handed to a socket.
+    /// The current attempt was written to a socket.
     sent: bool,
-    /// The attempt was sent and is work that may not be repeated.
-    exposed: bool,
-    /// Work that may not be repeated has run.
-    spent: bool,
+    /// Non-repeatable work was written to a socket, and its outcome is pending or lost.
+    unresolved: bool,
+    /// Non-repeatable work has run.
+    committed: bool,
     ledger: Ledger,
 }
 
-impl Open {
+impl OpenRequest {
     fn stage(&self) -> &PlanStage {
         &self.plan.stages[self.pipeline][self.stage]
     }
@@ -55,7 +56,7 @@
 }
 
 impl Naive {
-    /// An empty state: it serves once a configuration came.
+    /// Creates an empty state. It serves requests after the first configuration.
     pub fn new() -> Self {
         Self::default()
     }
@@ -72,7 +73,7 @@
         };
         let request = arrival.request;
         let keyed = arrival.keyed;
-        let open = Open {
+        let open = OpenRequest {
             arrival,
             plan,
             pipeline,
@@ -82,8 +83,8 @@
             offset: 0,
             registered: false,
             sent: false,
-            exposed: false,
-            spent: false,
+            unresolved: false,
+            committed: false,
             ledger,
         };
         self.open.insert(request, open);
@@ -149,8 +150,8 @@
     fn done(&mut self, now: Ms, request: RequestId, out: &mut Vec<Effect>) {
         let Some(open) = self.open.get_mut(&request) else { return };
         open.ledger.done();
-        open.spent |= !open.stage().repeatable;
-        open.exposed = false;
+        open.committed |= !open.stage().repeatable;
+        open.unresolved = false;
         open.stage += 1;
         open.tries = 0;
         open.offset = 0;
@@ -171,17 +172,17 @@
 
     fn failed(&mut self, now: Ms, request: RequestId, fault: Fault, out: &mut Vec<Effect>) {
         let Some(open) = self.open.get_mut(&request) else { return };
-        let once = !open.stage().repeatable && open.sent;
+        let non_repeatable = !open.stage().repeatable && open.sent;
         if open.sent {
             open.ledger.failed(fault);
-            open.exposed &= !fault.not_run();
+            open.unresolved &= !fault.not_run();
         }
         let code = match fault {
-            _ if open.exposed => Code::OutcomeUnknown,
-            Fault::Full if once => Code::Overloaded,
-            _ if once => Code::StageFailed,
+            _ if open.unresolved => Code::OutcomeUnknown,
+            Fault::Full if non_repeatable => Code::Overloaded,
+            _ if non_repeatable => Code::StageFailed,
             Fault::Rejected | Fault::TooLarge => Code::StageFailed,
-            _ if open.tries < TRIES => return self.send(now, request, out),
+            _ if open.tries < MAX_TRIES => return self.send(now, request, out),
             _ => Code::StageFailed,
         };
         self.give_up(request, code, out);
@@ -190,7 +191,7 @@
     fn give_up(&mut self, request: RequestId, code: Code, out: &mut Vec<Effect>) {
         let Some(open) = self.open.remove(&request) else { return };
         if open.registered {
-            let begun = open.exposed || open.spent;
+            let begun = open.unresolved || open.committed;
             let ending = if begun { Ending::Lost } else { Ending::Released };
             out.push(Effect::Finish { request, ending });
         }
@@ -199,7 +200,7 @@
 
     fn cancel(&mut self, request: RequestId, code: Code, out: &mut Vec<Effect>) {
         let Some(open) = self.open.get_mut(&request) else { return };
-        // The journal hasn't said yet what it knows of the key.
+        // The journal has not yet answered whether the key was used before.
         if open.arrival.keyed && !open.registered {
             open.ledger.refused_unregistered(open.arrival.resent);
         }
@@ -218,7 +219,12 @@
         }
     }
 
-    fn current(&mut self, request: RequestId, stage: usize, attempt: Attempt) -> Option<&mut Open> {
+    fn current(
+        &mut self,
+        request: RequestId,
+        stage: usize,
+        attempt: Attempt,
+    ) -> Option<&mut OpenRequest> {
         self.open.get_mut(&request).filter(|o| o.current(stage, attempt))
     }
 }
@@ -233,7 +239,7 @@
                 if let Some(open) = self.current(request, stage, attempt) {
                     open.ledger.sent();
                     open.sent = true;
-                    open.exposed |= !open.stage().repeatable;
+                    open.unresolved |= !open.stage().repeatable;
                 }
             }
             Event::Piece { request, stage, attempt, offset } => {
@@ -252,10 +258,10 @@
                     self.failed(now, request, fault, out);
                 }
             }
-            // Work that may not be repeated goes on without its caller, so that a re-send of the
+            // Non-repeatable work continues after its caller disconnects, so that a re-send of the
             // key gets the answer and not `unknown`.
             Event::Gone { request }
-                if self.open.get(&request).is_some_and(|o| o.exposed || o.spent) => {}
+                if self.open.get(&request).is_some_and(|o| o.unresolved || o.committed) => {}
             Event::Gone { request } => self.cancel(request, Code::CallerGone, out),
             Event::Leaving { target, leaving: true } => _ = self.leaving.insert(target),
             Event::Leaving { target, leaving: false } => _ = self.leaving.remove(&target),
--- a/crates/policy/src/poison.rs
+++ b/crates/policy/src/poison.rs
@@ -1,59 +1,60 @@
-//! *Poison*: which requests are not run because they bring targets down.
+//! *Poison*: which requests are refused because they crash targets.
 //!
-//! Answers: a request that crashes each target that runs it, and whose caller sends it again.
+//! A request may crash each target that runs it, and its caller sends it again. Without detection,
+//! retries and re-sends take down the fleet, one target after the other.
 //!
-//! Without it: retries and re-sends take the fleet down, one target after the other.
+//! When the connection to a target breaks, each request on it is marked with that target. Marks are
+//! kept by fingerprint, so they apply to a re-send as well. A request that gets a second mark from
+//! another target is ended: one mark may be chance, and waiting for a third would cost another
+//! target. Requests that merely shared the target get the first mark too, but are not blocked for
+//! it. Marked requests are kept on separate targets where possible, and a fingerprint is blocked
+//! and reported to the other hosts only if no other marked request was on the second target when it
+//! broke.
 //!
-//! A request on a target when it broke is marked with that target, by fingerprint, so that a
-//! re-send carries the mark on. A second mark from another target ends the request: one may be
-//! chance, and three would cost a further target. Requests that merely shared the target get the
-//! first mark as well. They aren't blamed, because marked requests keep apart where they can, and
-//! one is convicted, remembered and told of to the other hosts only if no other marked one was
-//! beside it when the second target broke.
-//!
-//! Only a connection that breaks is a signal of a crash: a process that dies closes its sockets,
-//! while a host or a link that dies is silent. And when [`OUTAGE_TARGETS`] of one failure domain
-//! break within [`OUTAGE`] under requests that weren't marked, the domain fails and not a
-//! request: then nobody is convicted.
+//! Only a broken connection indicates a crash: a process that dies closes its sockets, while a host
+//! or a link that fails stops responding. If [`OUTAGE_TARGETS`] targets of one failure domain break
+//! within [`OUTAGE_WINDOW`] under requests that were not marked, the cause is an outage of the
+//! domain and not a request, so no fingerprint is blocked.
 
 use base::Ms;
 use std::collections::{HashMap, VecDeque};
 
-/// How long a mark counts. A caller that sends again does so within minutes.
-const MARKED: Ms = Ms::secs(300);
-/// Time over which breaks in one domain are counted.
-const OUTAGE: Ms = Ms::secs(2);
-/// Targets that break unexplained before it is an outage.
+/// Lifetime of a mark. A caller that sends a request again does so within minutes.
+const MARK_TTL: Ms = Ms::secs(300);
+/// Window in which broken targets of one failure domain are counted.
+const OUTAGE_WINDOW: Ms = Ms::secs(2);
+/// Number of targets of one failure domain that break under unmarked requests before this counts as
+/// an outage.
 const OUTAGE_TARGETS: usize = 3;
-/// Marks and convictions that are kept. The oldest go first.
-const KEPT: usize = 16_384;
+/// Maximum number of marks, and of blocked fingerprints. The oldest are evicted first.
+const MAX_ENTRIES: usize = 16_384;
 
-/// What is known of requests that bring targets down.
+/// Marked requests, blocked fingerprints and recently broken targets.
 #[derive(Debug, Default)]
 pub(crate) struct Poison {
     marks: HashMap<u64, Mark>,
-    marked: VecDeque<(Ms, u64)>,
-    convicted: HashMap<u64, Ms>,
-    order: VecDeque<u64>,
+    mark_order: VecDeque<(Ms, u64)>,
+    blocked: HashMap<u64, Ms>,
+    block_order: VecDeque<u64>,
     breaks: VecDeque<Break>,
 }
 
-/// Which target broke, and in which failure domain.
+/// The target that broke, and its failure domain.
 #[derive(Clone, Copy, Debug)]
 pub(crate) struct FaultSite {
     pub(crate) target: u32,
     pub(crate) domain: u32,
 }
 
-/// What a break says of a request.
+/// What a broken target indicates about a request that was on it.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
-pub(crate) enum Blame {
-    /// It is marked.
-    First,
-    /// A second target broke under it, but it may have been another's doing.
-    Doubt,
-    /// It brings targets down.
-    Guilty,
+pub(crate) enum Suspicion {
+    /// The request is marked.
+    Marked,
+    /// A second target broke, but another request or an outage may have caused it.
+    Inconclusive,
+    /// The request crashes targets.
+    Confirmed,
 }
 
 #[derive(Clone, Copy, Debug)]
@@ -70,66 +71,73 @@
 }
 
 impl Poison {
-    /// Until when a fingerprint is refused.
-    pub(crate) fn until(&self, now: Ms, print: u64) -> Option<Ms> {
-        self.convicted.get(&print).copied().filter(|&until| now < until)
+    /// Time until which a fingerprint is refused.
+    pub(crate) fn blocked_until(&self, now: Ms, fingerprint: u64) -> Option<Ms> {
+        self.blocked.get(&fingerprint).copied().filter(|&until| now < until)
     }
 
     /// Whether a request was on a target that broke.
-    pub(crate) fn marked(&self, now: Ms, print: u64) -> bool {
-        self.marks.get(&print).is_some_and(|m| now < m.until)
+    pub(crate) fn is_marked(&self, now: Ms, fingerprint: u64) -> bool {
+        self.marks.get(&fingerprint).is_some_and(|m| now < m.until)
     }
 
-    /// A target broke under a request; `beside` says whether another marked one was on it.
-    pub(crate) fn broke(&mut self, now: Ms, print: u64, at: FaultSite, beside: bool) -> Blame {
-        self.forget(now);
-        let earlier = self.marks.get(&print).copied().filter(|m| now < m.until);
+    /// Records that a target broke while it ran a request. `other_marked` tells whether another
+    /// marked request was on it.
+    pub(crate) fn record_break(
+        &mut self,
+        now: Ms,
+        fingerprint: u64,
+        at: FaultSite,
+        other_marked: bool,
+    ) -> Suspicion {
+        self.expire(now);
+        let earlier = self.marks.get(&fingerprint).copied().filter(|m| now < m.until);
         let Some(earlier) = earlier else {
             if self.breaks.iter().all(|b| b.target != at.target) {
                 self.breaks.push_back(Break { target: at.target, domain: at.domain, at: now });
             }
-            let until = now + MARKED;
-            self.marks.insert(print, Mark { target: at.target, until });
-            self.marked.push_back((until, print));
-            return Blame::First;
+            let until = now + MARK_TTL;
+            self.marks.insert(fingerprint, Mark { target: at.target, until });
+            self.mark_order.push_back((until, fingerprint));
+            return Suspicion::Marked;
         };
         match () {
-            () if earlier.target == at.target => Blame::First,
-            () if beside || self.outage(at.domain) => Blame::Doubt,
-            () => Blame::Guilty,
+            () if earlier.target == at.target => Suspicion::Marked,
+            () if other_marked || self.is_outage(at.domain) => Suspicion::Inconclusive,
+            () => Suspicion::Confirmed,
         }
     }
 
-    /// Refuses a fingerprint from now on. Of two times the later holds.
-    pub(crate) fn convict(&mut self, print: u64, until: Ms) {
-        match self.convicted.get_mut(&print) {
+    /// Refuses a fingerprint until `until`. If it is already blocked, the later time applies.
+    pub(crate) fn block(&mut self, fingerprint: u64, until: Ms) {
+        match self.blocked.get_mut(&fingerprint) {
             Some(kept) => *kept = (*kept).max(until),
             None => {
-                self.convicted.insert(print, until);
-                self.order.push_back(print);
+                self.blocked.insert(fingerprint, until);
+                self.block_order.push_back(fingerprint);
             }
         }
-        if self.order.len() > KEPT
-            && let Some(oldest) = self.order.pop_front()
+        if self.block_order.len() > MAX_ENTRIES
+            && let Some(oldest) = self.block_order.pop_front()
         {
-            self.convicted.remove(&oldest);
+            self.blocked.remove(&oldest);
         }
     }
 
-    fn outage(&self, domain: u32) -> bool {
+    fn is_outage(&self, domain: u32) -> bool {
         self.breaks.iter().filter(|b| b.domain == domain).count() >= OUTAGE_TARGETS
     }
 
-    fn forget(&mut self, now: Ms) {
-        while self.breaks.front().is_some_and(|b| b.at + OUTAGE <= now) {
+    fn expire(&mut self, now: Ms) {
+        while self.breaks.front().is_some_and(|b| b.at + OUTAGE_WINDOW <= now) {
             self.breaks.pop_front();
         }
-        while let Some(&(until, print)) = self.marked.front()
-            && (until <= now || self.marked.len() > KEPT)
+        while let Some(&(until, fingerprint)) = self.mark_order.front()
+            && (until <= now || self.mark_order.len() > MAX_ENTRIES)
         {
-            self.marked.pop_front();
-            if self.marks.get(&print).is_some_and(|m| m.until == until) {
-                self.marks.remove(&print);
+            self.mark_order.pop_front();
+            if self.marks.get(&fingerprint).is_some_and(|m| m.until == until) {
+                self.marks.remove(&fingerprint);
             }
         }
     }
--- a/crates/policy/src/queue.rs
+++ b/crates/policy/src/queue.rs
@@ -1,57 +1,58 @@
-//! *Queue*: which request of one workspace goes next.
+//! *Queue*: which request of one workspace is served next.
 //!
-//! Answers: long work among short, and overload.
+//! Short requests are mixed with long ones, and load can exceed capacity. Without this order, a
+//! request of 50 ms waits in a single queue behind requests of several seconds. Under overload,
+//! first come first served serves each request just before its deadline, so that a little variance
+//! makes all of them late.
 //!
-//! Without it: in one line a note of 50 ms waits behind chapters of seconds; and when more comes
-//! than can be served, first come first served serves each request just before its deadline, so
-//! that a little variance makes all of them late.
+//! Requests are ordered by arrival time plus a delay. One part of the delay depends on the size
+//! class and is at least half of the work itself, so that no request waits for another one out of
+//! proportion to its own length. The other part depends on the priority: one second for normal and
+//! three seconds for low, which is a ninth and a third of the usual deadline. Since the delay is
+//! fixed, waiting alone brings every request to the front, so low priorities do not starve.
 //!
-//! Each request goes by the time when it came plus a delay: its size class's, which is half
-//! of the work itself or more, so that nobody waits for another out of proportion to its length;
-//! and its priority's, one and three seconds, a ninth and a third of the usual deadline. Because
-//! the delay is fixed, waiting alone brings every request to the front: low ones age.
-//!
-//! Once the oldest of a class has used half of the time that it can wait, the class is overloaded,
-//! and its newest goes first: it still has the time for its stages. The old ones are answered as
-//! soon as they are doomed, or served when the burst is over.
+//! A class is overloaded once its oldest request has used half of the time that it can wait. Then
+//! the newest request of the class is served first, because it still has time for all its stages.
+//! The old ones are refused once they can no longer be answered in time, or are served when the
+//! burst is over.
 
 use base::{Ms, RequestId};
 use conf::Priority;
 use std::collections::BTreeMap;
 
 /// Upper bounds of the size classes, ms of predicted work.
-const CLASSES: [u64; 3] = [100, 400, 1_600];
+const SIZE_CLASS_LIMITS_MS: [u64; 3] = [100, 400, 1_600];
 /// Delay of each size class.
 const CLASS_DELAY: [Ms; 4] = [Ms(0), Ms(200), Ms(800), Ms(3_200)];
 /// Delay of low, normal and high priority.
 const PRIORITY_DELAY: [Ms; 3] = [Ms(3_000), Ms(1_000), Ms(0)];
-/// Size classes times priorities.
+/// Number of lanes: one for each combination of size class and priority.
 pub(crate) const LANES: usize = 12;
 
-/// A request that waits.
+/// A waiting request.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 pub(crate) struct Item {
     pub(crate) request: RequestId,
     /// Predicted work, ms.
     pub(crate) cost: u64,
-    /// When it began to wait here.
+    /// When it entered this queue.
     pub(crate) since: Ms,
-    /// When it can no longer be answered in time.
-    pub(crate) doom: Ms,
+    /// Latest time at which it can start and still be answered before its deadline.
+    pub(crate) latest_start: Ms,
 }
 
-/// Where a waiting request stands.
+/// The position of a waiting request.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
-pub(crate) struct Place {
+pub(crate) struct Position {
     pub(crate) lane: usize,
-    pub(crate) came: Ms,
+    pub(crate) arrived: Ms,
     pub(crate) seq: u64,
 }
 
-impl Place {
-    /// When it came, its delay added: who is lower goes first.
+impl Position {
+    /// Arrival time plus the delay of the lane. The lowest rank is served first.
     pub(crate) fn rank(&self) -> Ms {
-        self.came + delay(self.lane)
+        self.arrived + delay(self.lane)
     }
 }
 
@@ -62,9 +63,9 @@
     len: usize,
 }
 
-/// Which lane work of a size and priority goes to.
+/// The lane for work of a given priority and size.
 pub(crate) fn lane(priority: Priority, cost: u64) -> usize {
-    let class = CLASSES.iter().filter(|&&most| cost > most).count();
+    let class = SIZE_CLASS_LIMITS_MS.iter().filter(|&&max| cost > max).count();
     priority as usize * CLASS_DELAY.len() + class
 }
 
@@ -73,45 +74,45 @@
         self.len
     }
 
-    pub(crate) fn push(&mut self, place: Place, item: Item) {
-        self.lanes[place.lane].insert((place.came, place.seq), item);
+    pub(crate) fn push(&mut self, position: Position, item: Item) {
+        self.lanes[position.lane].insert((position.arrived, position.seq), item);
         self.len += 1;
     }
 
-    pub(crate) fn remove(&mut self, place: Place) -> Option<Item> {
-        let item = self.lanes[place.lane].remove(&(place.came, place.seq))?;
+    pub(crate) fn remove(&mut self, position: Position) -> Option<Item> {
+        let item = self.lanes[position.lane].remove(&(position.arrived, position.seq))?;
         self.len -= 1;
         Some(item)
     }
 
-    /// When the head that goes next came, its delay added, and its lane.
+    /// Rank and lane of the request that is served next.
     fn front(&self) -> Option<(Ms, usize)> {
         let heads = self.lanes.iter().enumerate().filter_map(|(lane, items)| {
-            let (&(came, _), _) = items.first_key_value()?;
-            Some((came + delay(lane), lane))
+            let (&(arrived, _), _) = items.first_key_value()?;
+            Some((arrived + delay(lane), lane))
         });
         heads.min()
     }
 
-    /// How long one that comes now into `lane` waits if all goes on as it does: until its turn
-    /// is as old as the front's is.
+    /// Predicted wait of a request that arrives now in `lane`, if service continues at the present
+    /// pace: the time until its rank is as old as the rank at the front is now.
     pub(crate) fn wait(&self, now: Ms, lane: usize) -> Ms {
         self.front().map_or(Ms::ZERO, |(front, _)| now + delay(lane) - front)
     }
 
-    /// Who goes next.
-    pub(crate) fn next(&self, now: Ms) -> Option<(Place, Item)> {
+    /// The request that is served next.
+    pub(crate) fn next(&self, now: Ms) -> Option<(Position, Item)> {
         let (_, lane) = self.front()?;
         let items = &self.lanes[lane];
         let (_, oldest) = items.first_key_value()?;
-        let overloaded = (now - oldest.since).scale(2, 1) > oldest.doom - oldest.since;
+        let overloaded = (now - oldest.since).scale(2, 1) > oldest.latest_start - oldest.since;
         let next = if overloaded { items.last_key_value() } else { items.first_key_value() };
-        let (&(came, seq), &item) = next?;
-        Some((Place { lane, came, seq }, item))
+        let (&(arrived, seq), &item) = next?;
+        Some((Position { lane, arrived, seq }, item))
     }
 }
 
-/// How much later than it came a request of a lane goes.
+/// Delay of a lane, which is added to the arrival time of its requests.
 pub(crate) fn delay(lane: usize) -> Ms {
     PRIORITY_DELAY[lane / CLASS_DELAY.len()] + CLASS_DELAY[lane % CLASS_DELAY.len()]
 }
--- a/crates/policy/src/reducer.rs
+++ b/crates/policy/src/reducer.rs
@@ -1,17 +1,18 @@
-//! The border between decisions and the host.
+//! The interface between the policy and the host that runs it.
 
 use base::{DomainId, HostId, Ms, RegionId};
 use serde::{Deserialize, Serialize};
 
 use crate::{Effect, Event};
 
-/// Decides. The same events from the same start give the same effects.
+/// The decision logic of a host. The same events from the same initial state give the same effects.
 pub trait Reducer: Send {
-    /// Takes one event at `now` and appends what is to be done. `now` never goes back.
+    /// Handles one event at time `now` and appends the resulting effects to `out`. `now` never
+    /// decreases.
     fn reduce(&mut self, now: Ms, event: Event, out: &mut Vec<Effect>);
 }
 
-/// Where the deciding host stands, and the seed of its generator.
+/// The deciding host's location, and the seed of its random number generator.
 #[derive(Clone, Debug, PartialEq, Eq, Serialize, Deserialize)]
 pub struct HostContext {
     /// The host.
@@ -20,6 +21,6 @@
     pub domain: DomainId,
     /// Its region.
     pub region: RegionId,
-    /// Seed of the generator.
+    /// Seed of the random number generator.
     pub seed: u64,
 }
--- a/crates/policy/src/retry.rs
+++ b/crates/policy/src/retry.rs
@@ -1,56 +1,56 @@
-//! *Retry*: whether a failed stage is tried again.
+//! *Retry*: whether a failed stage is retried.
 //!
-//! Answers: failing targets.
+//! Targets may fail, a few or most of them at once. Retries help when a tenth of the targets fail.
+//! But when most of them fail and retries have no budget, each request is sent several times, and
+//! the remaining targets go down under three times the load.
 //!
-//! Without it: when a tenth of the targets fail, retries are welcome; when most fail, each request
-//! is sent several times and the rest go down under three times the load.
-//!
-//! Retries and resumes are paid from a budget that successes fill: at the usual share of a tenth
-//! they add a tenth to the load at the very most. [`BURST`] pays for the moment in which one target
-//! dies with all that it runs. A retry that can't end in time is none. Two things cost nothing, but
-//! come no more often than [`TRIES`] times: coming back to the queue from a target that said it
-//! has no room, since it ran nothing; and resuming a stream, since what is held need not be done
-//! again.
+//! Retries draw on a budget that successes add to. At the default share of 0.1 per success, they
+//! increase the load by at most a tenth. [`RETRY_BURST`] covers the moment when one target fails
+//! with all the calls that it runs. A retry that can't finish before the deadline is not made. Two
+//! kinds of retry cost nothing but still count towards [`MAX_TRIES`]: going back to the queue when
+//! a target reports that it is full, because the target ran nothing; and resuming a stream, because
+//! the tokens already received need not be generated again.
 
-/// Retries that may be saved up: what two targets of the usual size run at once, and a few.
-const BURST: f64 = 20.0;
-/// Tries of one stage.
-pub(crate) const TRIES: u32 = 4;
+/// Maximum number of retries that can be accumulated: what two targets of typical size run
+/// concurrently, plus a few.
+const RETRY_BURST: f64 = 20.0;
+/// Maximum number of attempts of one stage.
+pub(crate) const MAX_TRIES: u32 = 4;
 
-/// Tokens that successes earn and repeats spend.
+/// A token bucket: successes or first attempts add tokens, retries or hedges spend them.
 #[derive(Clone, Debug)]
-pub(crate) struct Tokens {
-    held: f64,
-    most: f64,
+pub(crate) struct TokenBucket {
+    tokens: f64,
+    capacity: f64,
 }
 
-impl Tokens {
-    /// A full budget for retries.
+impl TokenBucket {
+    /// Creates the retry budget, which starts full.
     pub(crate) fn retries() -> Self {
-        Self { held: BURST, most: BURST }
+        Self { tokens: RETRY_BURST, capacity: RETRY_BURST }
     }
 
-    /// A budget with a given bound, which has to be earned.
-    pub(crate) fn earned(most: f64) -> Self {
-        Self { held: 0.0, most }
+    /// Creates an empty bucket that holds at most `capacity` tokens.
+    pub(crate) fn earned(capacity: f64) -> Self {
+        Self { tokens: 0.0, capacity }
     }
 
-    /// Earns a share of a token.
+    /// Adds `share` of a token.
     pub(crate) fn earn(&mut self, share: f64) {
-        self.held = (self.held + share).min(self.most);
+        self.tokens = (self.tokens + share).min(self.capacity);
     }
 
-    /// Whether one could be spent.
-    pub(crate) fn any(&self) -> bool {
-        self.held >= 1.0
+    /// Whether a token can be spent.
+    pub(crate) fn available(&self) -> bool {
+        self.tokens >= 1.0
     }
 
-    /// Spends one, if there is one.
+    /// Spends a token and returns true, or returns false if there is none.
     pub(crate) fn spend(&mut self) -> bool {
-        let any = self.any();
-        if any {
-            self.held -= 1.0;
+        let available = self.available();
+        if available {
+            self.tokens -= 1.0;
         }
-        any
+        available
     }
 }
--- a/crates/policy/src/state.rs
+++ b/crates/policy/src/state.rs
@@ -1,4 +1,4 @@
-//! The reducer of an entry host: its state, and which part takes which event.
+//! The reducer of an entry host: its state, and the dispatch of events to their handlers.
 
 use base::{DomainId, Ms, PoolId, RequestId, TargetId};
 use conf::Plan;
@@ -7,56 +7,56 @@
 use std::collections::{BTreeSet, HashMap, HashSet};
 use std::sync::Arc;
 
-use crate::cache::Cache;
-use crate::decision::Without;
+use crate::cache::PrefixCache;
+use crate::decision::DisabledDecisions;
 use crate::health::{self, HealthSignal};
-use crate::learn::Learned;
+use crate::learn::LearnedTimes;
 use crate::limit::Limit;
-use crate::open::{Open, Rules};
 use crate::poison::Poison;
-use crate::retry::Tokens;
+use crate::request::{OpenRequest, Rules};
+use crate::retry::TokenBucket;
 use crate::target::{Context, Report, Target};
 use crate::view::{self, Names, View};
 use crate::wait_queue::WaitQueue;
 use crate::{Decision, Effect, Event, HostContext, Reducer, hedge};
 
-/// All that an entry host decides by.
+/// The state of an entry host's decisions.
 pub struct State {
-    pub(crate) placed: HostContext,
-    pub(crate) without: Without,
+    pub(crate) host_context: HostContext,
+    pub(crate) disabled: DisabledDecisions,
     pub(crate) view: Option<Arc<View>>,
     pub(crate) names: Names,
-    /// By number.
+    /// Indexed by target number.
     pub(crate) targets: Vec<Target>,
-    /// By number of the kind of stage.
-    pub(crate) learned: Vec<Learned>,
-    /// By number.
-    pub(crate) lines: Vec<WaitQueue>,
-    /// Lines in which somebody waits.
+    /// Indexed by stage kind.
+    pub(crate) learned: Vec<LearnedTimes>,
+    /// Indexed by queue number.
+    pub(crate) queues: Vec<WaitQueue>,
+    /// Queues with waiting requests.
     pub(crate) busy: BTreeSet<u32>,
-    pub(crate) open: HashMap<RequestId, Open>,
-    /// When each request is to be looked at.
+    pub(crate) open: HashMap<RequestId, OpenRequest>,
+    /// When each request is to be checked next.
     pub(crate) timers: BTreeSet<(Ms, RequestId)>,
     pub(crate) rules: HashMap<(usize, usize), Rules>,
-    pub(crate) cache: Cache,
+    pub(crate) cache: PrefixCache,
     pub(crate) poison: Poison,
-    pub(crate) retries: Tokens,
-    pub(crate) hedges: Tokens,
+    pub(crate) retries: TokenBucket,
+    pub(crate) hedges: TokenBucket,
     pub(crate) rng: ChaCha8Rng,
     pub(crate) turn: usize,
     pub(crate) seq: u64,
     hosts: u32,
-    /// Also those that no configuration has named yet.
+    /// Targets that are leaving service, including those that no configuration has named yet.
     leaving: HashSet<TargetId>,
     pub(crate) draining: bool,
-    /// The earliest tick asked for.
-    wake: Ms,
+    /// The earliest tick requested so far.
+    next_wake: Ms,
 }
 
 impl std::fmt::Debug for State {
     fn fmt(&self, f: &mut std::fmt::Formatter<'_>) -> std::fmt::Result {
         f.debug_struct("State")
-            .field("placed", &self.placed)
+            .field("host_context", &self.host_context)
             .field("open", &self.open.len())
             .field("targets", &self.targets.len())
             .finish_non_exhaustive()
@@ -64,78 +64,79 @@
 }
 
 impl State {
-    /// An empty state: it serves once a configuration came. Decisions in `without` are replaced
-    /// by the plainest choice.
-    pub fn new(placed: HostContext, without: &[Decision]) -> Self {
+    /// Creates an empty state. It serves requests after the first configuration. Each decision in
+    /// `disabled` is replaced by the simplest alternative.
+    pub fn new(host_context: HostContext, disabled: &[Decision]) -> Self {
         Self {
-            without: Without::new(without),
+            disabled: DisabledDecisions::new(disabled),
             view: None,
             names: Names::default(),
             targets: Vec::new(),
             learned: Vec::new(),
-            lines: Vec::new(),
+            queues: Vec::new(),
             busy: BTreeSet::new(),
             open: HashMap::new(),
             timers: BTreeSet::new(),
             rules: HashMap::new(),
-            cache: Cache::default(),
+            cache: PrefixCache::default(),
             poison: Poison::default(),
-            retries: Tokens::retries(),
-            hedges: Tokens::earned(hedge::BURST),
-            rng: ChaCha8Rng::seed_from_u64(placed.seed),
+            retries: TokenBucket::retries(),
+            hedges: TokenBucket::earned(hedge::HEDGE_BURST),
+            rng: ChaCha8Rng::seed_from_u64(host_context.seed),
             turn: 0,
             seq: 0,
             hosts: 1,
             leaving: HashSet::new(),
             draining: false,
-            wake: Ms::MAX,
-            placed,
+            next_wake: Ms::MAX,
+            host_context,
         }
     }
 
-    /// What targets are judged by at `now`.
+    /// Input for the decisions about targets at `now`.
     pub(crate) fn context(&self, now: Ms) -> Context {
         let view = self.view.as_ref();
         Context {
             now,
             hosts: self.hosts,
             domains: view.map_or(1, |v| v.domains),
-            span: view.map_or(Ms::ZERO, |v| v.plan.fleet.defaults.ramp_ms),
-            without: self.without,
+            ramp_time: view.map_or(Ms::ZERO, |v| v.plan.fleet.defaults.ramp_ms),
+            disabled: self.disabled,
         }
     }
 
     fn config(&mut self, now: Ms, plan: Arc<Plan>) {
         let first = self.view.is_none();
-        let view = View::new(plan, &self.placed, &mut self.names);
+        let view = View::new(plan, &self.host_context, &mut self.names);
         self.targets.iter_mut().for_each(|t| t.declared = false);
         for (at, planned) in view.targets.iter().zip(&view.plan.targets) {
-            let tier = view::tier(planned, &self.placed);
-            let domain = self.names.domains.number(planned.domain.clone());
-            let zone = self.names.zones.number((planned.domain.clone(), planned.pool.clone()));
+            let tier = view::tier(planned, &self.host_context);
+            let domain = self.names.domains.intern(planned.domain.clone());
+            let domain_pool =
+                self.names.domain_pools.intern((planned.domain.clone(), planned.pool.clone()));
             if *at as usize == self.targets.len() {
                 self.targets.push(Target {
                     name: planned.name.clone(),
                     slots: planned.slots,
                     tier,
                     domain,
-                    zone,
-                    lines: Vec::new(),
+                    domain_pool,
+                    queues: Vec::new(),
                     hash: base::hash_parts(&[planned.name.as_str().as_bytes()]),
                     declared: true,
                     running: 0,
                     marked: 0,
-                    mixed: false,
+                    marked_overlap: false,
                     report: Report::default(),
-                    zone_report: Report::default(),
+                    pool_report: Report::default(),
                     limit: Limit::new(),
-                    retry: Ms::ZERO,
-                    life: health::life(),
+                    next_probe: Ms::ZERO,
+                    lifecycle: health::start(),
                 });
-                // The first configuration finds targets that serve already; a later one brings
-                // new ones.
+                // The targets of the first configuration are already in service. A later
+                // configuration brings new ones, which have to ramp up.
                 if !first {
-                    self.signal(now, *at, HealthSignal::Fresh);
+                    self.signal(now, *at, HealthSignal::Added);
                 }
                 if self.leaving.contains(&planned.name) {
                     self.signal(now, *at, HealthSignal::Leaving);
@@ -145,21 +146,21 @@
             target.slots = planned.slots;
             target.tier = tier;
             target.domain = domain;
-            target.zone = zone;
+            target.domain_pool = domain_pool;
             target.declared = true;
-            target.lines.clear();
+            target.queues.clear();
         }
-        self.learned.resize_with(self.names.kinds.len(), Learned::default);
-        self.lines.resize_with(view::lines(self.names.kinds.len()), WaitQueue::default);
-        self.lines.iter_mut().for_each(|l| l.invalidate());
+        self.learned.resize_with(self.names.kinds.len(), LearnedTimes::default);
+        self.queues.resize_with(view::queue_count(self.names.kinds.len()), WaitQueue::default);
+        self.queues.iter_mut().for_each(|l| l.invalidate());
         for stage in view.stages.iter().flatten() {
             for &placement in &view.placements {
-                let line = view::line(stage.kind, placement);
-                self.lines[line as usize].tiers = stage.tiers.clone();
+                let queue = view::queue_id(stage.kind, placement);
+                self.queues[queue as usize].tiers = stage.tiers.clone();
                 for &t in stage.tiers.iter().flatten() {
-                    let lines = &mut self.targets[t as usize].lines;
-                    if !lines.contains(&line) {
-                        lines.push(line);
+                    let queues = &mut self.targets[t as usize].queues;
+                    if !queues.contains(&queue) {
+                        queues.push(queue);
                     }
                 }
             }
@@ -175,9 +176,13 @@
 
     fn leaving(&mut self, now: Ms, target: TargetId, leaving: bool) {
         if let Some(at) = self.names.targets.find(&target) {
-            self.signal(now, at, if leaving { HealthSignal::Leaving } else { HealthSignal::Back });
-            for &line in &self.targets[at as usize].lines {
-                self.lines[line as usize].invalidate();
+            self.signal(
+                now,
+                at,
+                if leaving { HealthSignal::Leaving } else { HealthSignal::Returned },
+            );
+            for &queue in &self.targets[at as usize].queues {
+                self.queues[queue as usize].invalidate();
             }
         }
         match leaving {
@@ -192,37 +197,37 @@
         }
     }
 
-    fn domain_load(&mut self, zone: &(DomainId, PoolId), free: f64, at: Ms) {
-        let Some(zone) = self.names.zones.find(zone) else { return };
-        let there = self.targets.iter_mut().filter(|t| t.zone == zone);
-        for target in there.filter(|t| t.zone_report.at <= at) {
+    fn domain_load(&mut self, domain_pool: &(DomainId, PoolId), free: f64, at: Ms) {
+        let Some(domain_pool) = self.names.domain_pools.find(domain_pool) else { return };
+        let there = self.targets.iter_mut().filter(|t| t.domain_pool == domain_pool);
+        for target in there.filter(|t| t.pool_report.at <= at) {
             let own = f64::from(target.running);
-            target.zone_report = Report { others: 0.0, own, free, at };
+            target.pool_report = Report { others: 0.0, own, free, at };
         }
     }
 
     fn tick(&mut self, now: Ms, out: &mut Vec<Effect>) {
-        if now >= self.wake {
-            self.wake = Ms::MAX;
+        if now >= self.next_wake {
+            self.next_wake = Ms::MAX;
         }
         while let Some(&(due, request)) = self.timers.first()
             && due <= now
         {
             self.timers.pop_first();
-            self.timer(now, request, out);
+            self.on_timer(now, request, out);
         }
         let busy: Vec<u32> = self.busy.iter().copied().collect();
-        for line in busy {
-            self.pump(now, line, out);
+        for queue in busy {
+            self.dispatch(now, queue, out);
         }
     }
 
-    /// Asks for a tick at the next timer, if none is asked for by then.
-    fn ask_wake(&mut self, out: &mut Vec<Effect>) {
+    /// Requests a tick for the next timer, unless an earlier one is already requested.
+    fn request_wake(&mut self, out: &mut Vec<Effect>) {
         if let Some(&(at, _)) = self.timers.first()
-            && at < self.wake
+            && at < self.next_wake
         {
-            self.wake = at;
+            self.next_wake = at;
             out.push(Effect::Wake { at });
         }
     }
@@ -244,7 +249,7 @@
             Event::Failed { request, stage, attempt, fault } => {
                 self.failed(now, request, stage, attempt, fault, out);
             }
-            Event::Gone { request } => self.gone(now, request, out),
+            Event::Gone { request } => self.caller_gone(now, request, out),
             Event::Load { target, running, queued, at } => self.load(&target, running, queued, at),
             Event::DomainLoad { domain, pool, running, queued, slots, at } => {
                 let used = f64::from(running) + f64::from(queued);
@@ -253,15 +258,15 @@
             }
             Event::Cache { target, seq, prefix, stored } => {
                 if let Some(target) = self.names.targets.find(&target) {
-                    self.cache.event(target, seq, prefix, stored);
+                    self.cache.on_event(target, seq, prefix, stored);
                 }
             }
             Event::Leaving { target, leaving } => self.leaving(now, target, leaving),
-            Event::Poisoned { fingerprint, until } => self.poison.convict(fingerprint, until),
+            Event::Poisoned { fingerprint, until } => self.poison.block(fingerprint, until),
             Event::Hosts { live } => self.hosts = live.max(1),
             Event::Drain => self.draining = true,
             Event::Tick => self.tick(now, out),
         }
-        self.ask_wake(out);
+        self.request_wake(out);
     }
 }
