--- a/crates/policy/tests/common/mod.rs
+++ b/crates/policy/tests/common/mod.rs
@@ -1,4 +1,5 @@
-//! A small deployment, and a host that carries out effects by hand.
+//! A small test deployment, and a test host that feeds events to the reducer and collects its
+//! effects.
 #![allow(dead_code)]
 
 pub mod oracle;
@@ -12,8 +13,9 @@
 use std::collections::{BTreeMap, BinaryHeap};
 use std::sync::Arc;
 
-/// Two regions, three failure domains; `home` is the host's. Pools: `enc` with four targets at
-/// home, `gen` engines two at home, one near and one far, `book` may not be repeated.
+/// Two regions and three failure domains; `home` is the host's domain. Pools: `enc` has four
+/// targets in `home`; `gen` has engines, two in `home`, one in `near` and one in `far`; `book` is
+/// non-repeatable.
 pub const FLEET: &str = "
 deployment: test
 cost_weight: 0.5
@@ -61,22 +63,22 @@
     stages: [{ name: g, pool: gen, model: m, stream: true, typical_ms: 500 }]
 ";
 
-/// The deployment.
+/// The parsed deployment.
 pub fn fleet() -> Fleet {
     Fleet::parse(FLEET).expect("it parses")
 }
 
-/// A checked configuration.
+/// A validated configuration.
 pub fn plan(generation: u64, fleet: Fleet) -> Arc<Plan> {
     Arc::new(Plan::new(Generation(generation), fleet).expect("it is sound"))
 }
 
-/// A host at home.
-pub fn placed() -> HostContext {
+/// A host in `home`.
+pub fn host_context() -> HostContext {
     HostContext { host: "h1".into(), domain: "home".into(), region: "east".into(), seed: 7 }
 }
 
-/// A request that is sent.
+/// A stage that was sent to a target.
 #[derive(Clone, Debug)]
 pub struct Sent {
     pub request: RequestId,
@@ -87,7 +89,7 @@
     pub budget: Ms,
 }
 
-/// A host in a test: events go in by hand, effects are sorted.
+/// A test host: tests feed events to it, and it sorts the effects by kind.
 pub struct Host {
     pub state: Box<dyn Reducer>,
     pub now: Ms,
@@ -95,28 +97,28 @@
     pub cancels: Vec<(RequestId, Attempt)>,
     pub answers: Vec<(RequestId, Verdict, Ms)>,
     pub registers: Vec<RequestId>,
-    pub others: Vec<Effect>,
+    pub other_effects: Vec<Effect>,
     next: u128,
 }
 
 impl Host {
     pub fn new() -> Self {
-        Self::without(&[])
+        Self::with_disabled(&[])
     }
 
-    pub fn without(without: &[Decision]) -> Self {
-        Self::with(without, fleet())
+    pub fn with_disabled(disabled: &[Decision]) -> Self {
+        Self::with_fleet(disabled, fleet())
     }
 
-    pub fn with(without: &[Decision], fleet: Fleet) -> Self {
+    pub fn with_fleet(disabled: &[Decision], fleet: Fleet) -> Self {
         let mut host = Self {
-            state: Box::new(State::new(placed(), without)),
+            state: Box::new(State::new(host_context(), disabled)),
             now: Ms(1_000_000),
             sends: Vec::new(),
             cancels: Vec::new(),
             answers: Vec::new(),
             registers: Vec::new(),
-            others: Vec::new(),
+            other_effects: Vec::new(),
             next: 0,
         };
         host.feed(Event::Config(plan(1, fleet)));
@@ -137,13 +139,13 @@
                     self.answers.push((request, verdict, self.now));
                 }
                 Effect::Register { request } => self.registers.push(request),
-                other => self.others.push(other),
+                other => self.other_effects.push(other),
             }
         }
     }
 
-    /// Time passes, with a tick each 50 ms.
-    pub fn pass(&mut self, ms: u64) {
+    /// Advances time by `ms`, with a tick every 50 ms.
+    pub fn advance(&mut self, ms: u64) {
         let end = self.now + Ms(ms);
         while self.now < end {
             self.now = (self.now + Ms(50)).min(end);
@@ -151,10 +153,10 @@
         }
     }
 
-    pub fn ask(&self, space: &str, pipeline: &str) -> Arrival {
+    pub fn arrival(&self, workspace: &str, pipeline: &str) -> Arrival {
         Arrival {
             request: RequestId::from_u128(self.next + 1),
-            workspace: space.into(),
+            workspace: workspace.into(),
             pipeline: pipeline.into(),
             priority: None,
             deadline: self.now + Ms(9_000),
@@ -174,23 +176,23 @@
         request
     }
 
-    /// A request of a workspace for a pipeline.
-    pub fn come(&mut self, space: &str, pipeline: &str) -> RequestId {
-        let arrival = self.ask(space, pipeline);
+    /// Submits a request of a workspace for a pipeline.
+    pub fn submit(&mut self, workspace: &str, pipeline: &str) -> RequestId {
+        let arrival = self.arrival(workspace, pipeline);
         self.arrive(arrival)
     }
 
-    /// The last send of a request.
-    pub fn last(&self, request: RequestId) -> Sent {
+    /// The latest send of a request.
+    pub fn last_send(&self, request: RequestId) -> Sent {
         let mut sends = self.sends.iter().rev();
         sends.find(|s| s.request == request).cloned().expect("it was sent")
     }
 
-    pub fn sent_of(&self, request: RequestId) -> Vec<Sent> {
+    pub fn sends_of(&self, request: RequestId) -> Vec<Sent> {
         self.sends.iter().filter(|s| s.request == request).cloned().collect()
     }
 
-    pub fn hand_over(&mut self, sent: &Sent) {
+    pub fn mark_sent(&mut self, sent: &Sent) {
         let Sent { request, stage, attempt, .. } = *sent;
         self.feed(Event::Sent { request, stage, attempt });
     }
@@ -221,8 +223,8 @@
         }
     }
 
-    /// Serves in virtual time until all arrivals are answered. Each call takes what `time` says,
-    /// ms; a target runs as many at once as it is given.
+    /// Runs in virtual time until all arrivals are answered. The duration of each call is given by
+    /// `time`, in ms. A target runs as many calls concurrently as it is given.
     pub fn serve(&mut self, mut arrivals: Vec<(Ms, Arrival)>, time: impl Fn(&Sent) -> u64) {
         arrivals.reverse();
         let mut ends: BinaryHeap<Reverse<(Ms, usize)>> = BinaryHeap::new();
@@ -232,7 +234,7 @@
             while seen < self.sends.len() {
                 let sent = self.sends[seen].clone();
                 let end = self.now + Ms(time(&sent));
-                self.hand_over(&sent);
+                self.mark_sent(&sent);
                 ends.push(Reverse((end, seen)));
                 seen += 1;
             }
@@ -258,24 +260,30 @@
         }
     }
 
-    /// An arrival `at` ms from now that is due `left` ms later.
-    pub fn later(&mut self, at: u64, left: u64, space: &str, pipeline: &str) -> (Ms, Arrival) {
+    /// An arrival `at` ms from now, with a deadline `left` ms later.
+    pub fn arrival_at(
+        &mut self,
+        at: u64,
+        left: u64,
+        workspace: &str,
+        pipeline: &str,
+    ) -> (Ms, Arrival) {
         self.next += 1;
         let request = RequestId::from_u128(self.next);
         let at = self.now + Ms(at);
-        let arrival = self.ask(space, pipeline);
+        let arrival = self.arrival(workspace, pipeline);
         (at, Arrival { request, deadline: at + Ms(left), ..arrival })
     }
 
-    /// Share of the requests that were answered whole.
-    pub fn whole(&self, requests: impl IntoIterator<Item = RequestId>) -> f64 {
+    /// Fraction of the requests that were answered with a complete result.
+    pub fn success_share(&self, requests: impl IntoIterator<Item = RequestId>) -> f64 {
         let of: BTreeMap<_, _> = self.answers.iter().map(|a| (a.0, a.1)).collect();
         let all: Vec<_> = requests.into_iter().collect();
         let done = all.iter().filter(|r| of.get(r) == Some(&Verdict::Done)).count();
         done as f64 / all.len() as f64
     }
 
-    pub fn leave(&mut self, target: &str, leaving: bool) {
+    pub fn set_leaving(&mut self, target: &str, leaving: bool) {
         self.feed(Event::Leaving { target: target.into(), leaving });
     }
 }
--- a/crates/policy/tests/common/oracle.rs
+++ b/crates/policy/tests/common/oracle.rs
@@ -1,4 +1,4 @@
-//! What must hold whatever happens, checked on each effect by a host that knows the truth.
+//! Invariants of every policy, checked on each effect by a test host that tracks the true state.
 
 use base::{Attempt, Ms, RequestId};
 use conf::Plan;
@@ -8,10 +8,10 @@
 
 use super::{fleet, plan};
 
-/// Something that happens; picks are taken modulo what there is to pick from.
+/// An operation of a random test. Each `pick` is taken modulo the number of candidates.
 #[derive(Clone, Debug)]
 pub enum Op {
-    Arrive { space: usize, pipe: usize, resent: bool, left: u64, print: u64 },
+    Arrive { workspace: usize, pipeline: usize, resent: bool, left: u64, fingerprint: u64 },
     Grant { pick: usize, grant: Grant },
     Sent { pick: usize },
     Piece { pick: usize, tokens: u32 },
@@ -22,46 +22,46 @@
     Load { target: usize, running: u32 },
     Config { which: usize },
     Hosts { live: u32 },
-    Poisoned { print: u64 },
+    Poisoned { fingerprint: u64 },
     Cache { target: usize, seq: u64, prefix: u64, stored: bool },
     Drain,
-    Pass { ms: u64 },
+    Advance { ms: u64 },
 }
 
 const TARGETS: [&str; 10] =
     ["enc-1", "enc-2", "enc-3", "enc-4", "gen-1", "gen-2", "gen-3", "gen-4", "book-1", "book-2"];
-const SPACES: [&str; 3] = ["big", "small", "other"];
-const PIPES: [&str; 4] = ["short", "chat", "order", "talk"];
+const WORKSPACES: [&str; 3] = ["big", "small", "other"];
+const PIPELINES: [&str; 4] = ["short", "chat", "order", "talk"];
 
-/// A request as its host knows it.
+/// A request as the test host tracks it.
 struct Live {
     plan: Arc<Plan>,
-    pipe: usize,
+    pipeline: usize,
     deadline: Ms,
     keyed: bool,
     resent: bool,
     grant: Option<Grant>,
     stage: usize,
-    held: u32,
-    taken: Option<Attempt>,
+    received: u32,
+    streaming: Option<Attempt>,
     attempts: BTreeMap<Attempt, bool>,
-    /// Attempts handed to a socket and not refused by their target.
+    /// Attempts that were written to a socket and not refused by their target.
     open_sends: u32,
     ran: bool,
-    /// Stages that may not be repeated and were handed to a socket.
-    once: BTreeSet<usize>,
-    once_begun: bool,
+    /// Non-repeatable stages that were written to a socket.
+    sent_once: BTreeSet<usize>,
+    non_repeatable_begun: bool,
     finish: Option<Ending>,
 }
 
 impl Live {
     fn repeatable(&self) -> bool {
-        self.plan.stages[self.pipe][self.stage].repeatable
+        self.plan.stages[self.pipeline][self.stage].repeatable
     }
 }
 
-/// A host that checks each effect against what must hold.
-pub struct Check {
+/// A test host that checks each effect against the invariants.
+pub struct Oracle {
     state: Box<dyn Reducer>,
     now: Ms,
     plans: [Arc<Plan>; 2],
@@ -70,17 +70,17 @@
     draining: bool,
     live: BTreeMap<RequestId, Live>,
     registering: BTreeSet<RequestId>,
-    asked: u128,
+    submitted: u128,
     answered: BTreeSet<RequestId>,
     trace: String,
 }
 
-impl Check {
+impl Oracle {
     pub fn new(state: Box<dyn Reducer>) -> Self {
         let mut less = fleet();
         less.pools[0].targets.pop();
         let plans = [plan(1, fleet()), plan(2, less)];
-        let mut check = Self {
+        let mut oracle = Self {
             state,
             now: Ms(1_000_000),
             plan: plans[0].clone(),
@@ -89,12 +89,12 @@
             draining: false,
             live: BTreeMap::new(),
             registering: BTreeSet::new(),
-            asked: 0,
+            submitted: 0,
             answered: BTreeSet::new(),
             trace: String::new(),
         };
-        check.feed(Event::Config(check.plan.clone()));
-        check
+        oracle.feed(Event::Config(oracle.plan.clone()));
+        oracle
     }
 
     fn feed(&mut self, event: Event) {
@@ -102,7 +102,7 @@
         let late = match &event {
             Event::Done { request, stage, .. } => {
                 let live = &self.live[request];
-                let last = *stage + 1 == live.plan.stages[live.pipe].len();
+                let last = *stage + 1 == live.plan.stages[live.pipeline].len();
                 (last && self.now > live.deadline).then_some(*request)
             }
             _ => None,
@@ -111,8 +111,8 @@
             && let Some(live) = self.live.get_mut(request)
         {
             live.stage += 1;
-            live.held = 0;
-            live.taken = None;
+            live.received = 0;
+            live.streaming = None;
         }
         self.state.reduce(self.now, event, &mut out);
         self.trace.push_str(&serde_json::to_string(&out).expect("effects serialise"));
@@ -121,16 +121,20 @@
                 && late == *request
             {
                 let code = |r: &policy::Refusal| r.code == Code::DeadlinePassed;
-                assert!(matches!(verdict, Verdict::Refused(r) if code(r)), "a late answer is none");
+                assert!(
+                    matches!(verdict, Verdict::Refused(r) if code(r)),
+                    "an answer after the deadline is refused"
+                );
             }
-            self.take(effect);
+            self.check_effect(effect);
         }
-        // Its pieces are taken to the end: another attempt's would be dropped for ever.
-        let cut = |l: &&Live| l.taken.is_some_and(|t| !l.attempts.contains_key(&t));
-        assert!(self.live.values().find(cut).is_none(), "the stream that is taken was cancelled");
+        // A stream is accepted from one attempt until it ends: chunks of another attempt would be
+        // dropped forever, so the accepted attempt must not be cancelled.
+        let cancelled = |l: &&Live| l.streaming.is_some_and(|t| !l.attempts.contains_key(&t));
+        assert!(self.live.values().find(cancelled).is_none(), "the accepted stream was cancelled");
     }
 
-    fn take(&mut self, effect: Effect) {
+    fn check_effect(&mut self, effect: Effect) {
         match effect {
             Effect::Register { request } => {
                 assert!(self.live[&request].keyed);
@@ -139,31 +143,49 @@
             Effect::Send { request, stage, attempt, target, offset, budget } => {
                 let live = self.live.get_mut(&request).expect("only open requests are sent");
                 let name = target.as_str();
-                assert!(!self.leaving.contains(name), "{name} is leaving and gets work");
-                assert!(self.plan.target(&target).is_some(), "{name} was taken out and gets work");
-                assert!(!live.keyed || live.grant == Some(Grant::Granted), "sent unregistered");
+                assert!(!self.leaving.contains(name), "{name} is leaving service but got work");
+                assert!(
+                    self.plan.target(&target).is_some(),
+                    "{name} was removed from the configuration but got work"
+                );
+                assert!(
+                    !live.keyed || live.grant == Some(Grant::Granted),
+                    "sent before its key was granted"
+                );
                 assert_eq!(stage, live.stage);
-                assert_eq!(offset, live.held, "resumed from what is held");
+                assert_eq!(offset, live.received, "a stream resumes after the tokens received");
                 assert!(budget > Ms::ZERO);
                 assert!(live.attempts.len() < 2, "a hedge at most");
                 if !live.repeatable() {
-                    assert!(live.attempts.is_empty(), "two at once of what may not be repeated");
-                    assert!(!live.once.contains(&stage), "sent a second time");
+                    assert!(
+                        live.attempts.is_empty(),
+                        "two concurrent attempts of non-repeatable work"
+                    );
+                    assert!(!live.sent_once.contains(&stage), "non-repeatable work was sent twice");
                 }
-                assert!(live.attempts.insert(attempt, false).is_none(), "attempts are new");
+                assert!(
+                    live.attempts.insert(attempt, false).is_none(),
+                    "each attempt has a new number"
+                );
             }
             Effect::Cancel { request, attempt, .. } => {
                 let live = self.live.get_mut(&request).expect("only open requests are cancelled");
-                assert!(live.attempts.remove(&attempt).is_some(), "only what runs is cancelled");
+                assert!(
+                    live.attempts.remove(&attempt).is_some(),
+                    "only running attempts are cancelled"
+                );
             }
             Effect::Finish { request, ending } => {
                 let live = self.live.get_mut(&request).expect("finished before it is answered");
                 assert_eq!(live.grant, Some(Grant::Granted));
                 assert!(live.finish.replace(ending).is_none(), "finished twice");
                 match ending {
-                    Ending::Released => assert!(!live.once_begun, "a key is granted again"),
-                    Ending::Lost => assert!(live.once_begun),
-                    Ending::Done => assert_eq!(live.stage, live.plan.stages[live.pipe].len()),
+                    Ending::Released => assert!(
+                        !live.non_repeatable_begun,
+                        "the key of started non-repeatable work was released"
+                    ),
+                    Ending::Lost => assert!(live.non_repeatable_begun),
+                    Ending::Done => assert_eq!(live.stage, live.plan.stages[live.pipeline].len()),
                 }
             }
             Effect::Answer { request, verdict } => self.answered(request, verdict),
@@ -179,13 +201,13 @@
         assert_eq!(live.grant == Some(Grant::Granted), live.finish.is_some());
         match verdict {
             Verdict::Done => {
-                assert_eq!(live.stage, live.plan.stages[live.pipe].len());
+                assert_eq!(live.stage, live.plan.stages[live.pipeline].len());
                 assert!(self.now <= live.deadline);
             }
             Verdict::Replayed => assert_eq!(live.grant, Some(Grant::Answered)),
             Verdict::Refused(refusal) if refusal.ran == Ran::No => {
-                assert_eq!(live.open_sends, 0, "told as not run though it was sent");
-                assert!(!live.ran, "told as not run though it ran");
+                assert_eq!(live.open_sends, 0, "reported as not run although it was sent");
+                assert!(!live.ran, "reported as not run although it ran");
                 assert!(!live.resent || live.grant == Some(Grant::Granted), "it may have run");
                 assert!(!matches!(live.grant, Some(Grant::Running | Grant::Unknown)));
             }
@@ -193,47 +215,47 @@
         }
     }
 
-    pub fn op(&mut self, op: Op) {
+    pub fn apply(&mut self, op: Op) {
         match op {
-            Op::Arrive { space, pipe, resent, left, print } => {
-                self.asked += 1;
-                let request = RequestId::from_u128(self.asked);
-                let keyed = PIPES[pipe] == "order";
+            Op::Arrive { workspace, pipeline, resent, left, fingerprint } => {
+                self.submitted += 1;
+                let request = RequestId::from_u128(self.submitted);
+                let keyed = PIPELINES[pipeline] == "order";
                 let resent = resent && keyed;
                 let deadline = self.now + Ms(left);
                 let live = Live {
                     plan: self.plan.clone(),
-                    pipe,
+                    pipeline,
                     deadline,
                     keyed,
                     resent,
                     grant: None,
                     stage: 0,
-                    held: 0,
-                    taken: None,
+                    received: 0,
+                    streaming: None,
                     attempts: BTreeMap::new(),
                     open_sends: 0,
                     ran: false,
-                    once: BTreeSet::new(),
-                    once_begun: false,
+                    sent_once: BTreeSet::new(),
+                    non_repeatable_begun: false,
                     finish: None,
                 };
                 self.live.insert(request, live);
                 self.feed(Event::Arrive(Arrival {
                     request,
-                    workspace: SPACES[space].into(),
-                    pipeline: PIPES[pipe].into(),
+                    workspace: WORKSPACES[workspace].into(),
+                    pipeline: PIPELINES[pipeline].into(),
                     priority: None,
                     deadline,
                     tokens_in: 100,
                     max_tokens: 64,
-                    prefix: print % 4,
-                    fingerprint: print,
+                    prefix: fingerprint % 4,
+                    fingerprint,
                     keyed,
                     resent,
                 }));
                 if self.draining {
-                    assert!(self.answered.contains(&request), "let in while draining");
+                    assert!(self.answered.contains(&request), "admitted while draining");
                 }
             }
             Op::Grant { pick, grant } => {
@@ -250,8 +272,8 @@
                 live.attempts.insert(attempt, true);
                 live.open_sends += 1;
                 if !live.repeatable() {
-                    live.once.insert(live.stage);
-                    live.once_begun = true;
+                    live.sent_once.insert(live.stage);
+                    live.non_repeatable_begun = true;
                 }
                 let stage = live.stage;
                 self.feed(Event::Sent { request, stage, attempt });
@@ -259,22 +281,22 @@
             Op::Piece { pick, tokens } => {
                 let Some((request, attempt, true)) = self.pick(pick) else { return };
                 let live = self.live.get_mut(&request).expect("it is open");
-                let stream = live.plan.stages[live.pipe][live.stage].stream;
-                if !stream || live.taken.is_some_and(|t| t != attempt) {
+                let stream = live.plan.stages[live.pipeline][live.stage].stream;
+                if !stream || live.streaming.is_some_and(|t| t != attempt) {
                     return;
                 }
-                live.taken = Some(attempt);
-                live.held += tokens;
+                live.streaming = Some(attempt);
+                live.received += tokens;
                 live.ran = true;
-                let (stage, offset) = (live.stage, live.held);
+                let (stage, offset) = (live.stage, live.received);
                 self.feed(Event::Piece { request, stage, attempt, offset });
                 let left = self.live.get(&request).map(|l| l.attempts.len());
-                assert_eq!(left, Some(1), "the others are cancelled");
+                assert_eq!(left, Some(1), "the other attempts are cancelled");
             }
             Op::Done { pick } => {
                 let Some((request, attempt, true)) = self.pick(pick) else { return };
                 let live = self.live.get_mut(&request).expect("it is open");
-                if live.taken.is_some_and(|t| t != attempt) {
+                if live.streaming.is_some_and(|t| t != attempt) {
                     return;
                 }
                 live.ran = true;
@@ -287,14 +309,14 @@
                 let fault = if sent { fault } else { Fault::Connect };
                 let live = self.live.get_mut(&request).expect("it is open");
                 live.attempts.remove(&attempt);
-                if live.taken == Some(attempt) {
-                    live.taken = None;
+                if live.streaming == Some(attempt) {
+                    live.streaming = None;
                 }
                 if sent && fault.not_run() {
                     live.open_sends -= 1;
-                    // What ran before still counts.
-                    let earlier = live.once.iter().any(|&s| s < live.stage);
-                    live.once_begun = earlier;
+                    // Earlier stages that ran still count.
+                    let earlier = live.sent_once.iter().any(|&s| s < live.stage);
+                    live.non_repeatable_begun = earlier;
                 }
                 let stage = live.stage;
                 self.feed(Event::Failed { request, stage, attempt, fault });
@@ -323,8 +345,8 @@
                 self.feed(Event::Config(self.plan.clone()));
             }
             Op::Hosts { live } => self.feed(Event::Hosts { live }),
-            Op::Poisoned { print } => {
-                self.feed(Event::Poisoned { fingerprint: print, until: self.now + Ms(500) });
+            Op::Poisoned { fingerprint } => {
+                self.feed(Event::Poisoned { fingerprint, until: self.now + Ms(500) });
             }
             Op::Cache { target, seq, prefix, stored } => {
                 self.feed(Event::Cache { target: TARGETS[target].into(), seq, prefix, stored });
@@ -333,32 +355,32 @@
                 self.draining = true;
                 self.feed(Event::Drain);
             }
-            Op::Pass { ms } => self.pass(ms),
+            Op::Advance { ms } => self.advance(ms),
         }
     }
 
-    fn pass(&mut self, ms: u64) {
+    fn advance(&mut self, ms: u64) {
         let end = self.now + Ms(ms);
         while self.now < end {
             self.now = (self.now + Ms(50)).min(end);
             self.feed(Event::Tick);
-            let held = self.live.values().find(|l| l.deadline <= self.now);
-            assert!(held.is_none(), "held back past its deadline");
+            let overdue = self.live.values().find(|l| l.deadline <= self.now);
+            assert!(overdue.is_none(), "not answered by its deadline");
         }
     }
 
-    /// Some attempt that runs, and whether it was handed over.
+    /// A running attempt, and whether it was sent.
     fn pick(&self, pick: usize) -> Option<(RequestId, Attempt, bool)> {
         let all = self.live.iter();
         let all = all.flat_map(|(&r, l)| l.attempts.iter().map(move |(&a, &sent)| (r, a, sent)));
         nth(all, pick)
     }
 
-    /// Lets all that is open end.
-    pub fn close(mut self) -> String {
-        self.pass(9_500);
+    /// Lets all open requests end, and checks that each one was answered.
+    pub fn finish(mut self) -> String {
+        self.advance(9_500);
         assert!(self.live.is_empty(), "never answered");
-        assert_eq!(self.answered.len() as u128, self.asked);
+        assert_eq!(self.answered.len() as u128, self.submitted);
         self.trace
     }
 }
--- a/crates/policy/tests/path.rs
+++ b/crates/policy/tests/path.rs
@@ -1,21 +1,21 @@
-//! The path of one request, as its host sees it.
+//! The sequence of effects for one request.
 
 mod common;
 
 use base::RequestId;
-use common::{fleet, placed, plan};
+use common::{fleet, host_context, plan};
 use policy::{Arrival, Event, Grant, Reducer, State, Usage};
 
-/// An order on its way: recorded, encoded, booked once, noted, and its record closed before its
-/// caller is answered. All of it by effects, which anyone can read from a file.
+/// An order is registered, runs its three stages, with the booking sent once, and its record is
+/// closed before the caller is answered. The test compares the complete sequence of effects.
 #[test]
 fn an_order_from_arrival_to_answer() {
     let request = RequestId::from_u128(1);
     let attempt = |stage: usize| base::Attempt(stage as u32 + 1);
-    let ask = common::Host::new().ask("big", "order");
+    let arrival = common::Host::new().arrival("big", "order");
     let mut events = vec![
         Event::Config(plan(1, fleet())),
-        Event::Arrive(Arrival { request, keyed: true, ..ask }),
+        Event::Arrive(Arrival { request, keyed: true, ..arrival }),
         Event::Registered { request, grant: Grant::Granted },
     ];
     for stage in 0..3 {
@@ -23,7 +23,7 @@
         events.push(Event::Sent { request, stage, attempt: attempt(stage) });
         events.push(Event::Done { request, stage, attempt: attempt(stage), usage });
     }
-    let mut state = State::new(placed(), &[]);
+    let mut state = State::new(host_context(), &[]);
     let mut lines = String::new();
     for (i, event) in events.into_iter().enumerate() {
         let mut out = Vec::new();
--- a/crates/policy/tests/promises.rs
+++ b/crates/policy/tests/promises.rs
@@ -1,10 +1,10 @@
-//! What must hold whatever happens, over random events, for the full policy, each of its
-//! decisions left out, and the baseline.
+//! Invariants that must hold for any sequence of events. They are checked with random events for
+//! the full policy, for the policy with decisions disabled, and for the baseline.
 
 mod common;
 
-use common::oracle::{Check, Op};
-use common::placed;
+use common::host_context;
+use common::oracle::{Op, Oracle};
 use policy::{Decision, Fault, Grant, Naive, Reducer, State};
 use proptest::prelude::*;
 use proptest::test_runner::RngSeed;
@@ -35,7 +35,7 @@
     let pick = 0..64usize;
     prop_oneof![
         8 => (0..3usize, 0..4usize, prop::bool::weighted(0.2), 1..9_000u64, 0..12u64).prop_map(
-            |(space, pipe, resent, left, print)| Op::Arrive { space, pipe, resent, left, print }
+            |(workspace, pipeline, resent, left, fingerprint)| Op::Arrive { workspace, pipeline, resent, left, fingerprint }
         ),
         6 => (pick.clone(), grant).prop_map(|(pick, grant)| Op::Grant { pick, grant }),
         10 => pick.clone().prop_map(|pick| Op::Sent { pick }),
@@ -49,27 +49,27 @@
         2 => (0..10usize, 0..9u32).prop_map(|(target, running)| Op::Load { target, running }),
         1 => (0..2usize).prop_map(|which| Op::Config { which }),
         1 => (1..5u32).prop_map(|live| Op::Hosts { live }),
-        1 => (0..12u64).prop_map(|print| Op::Poisoned { print }),
+        1 => (0..12u64).prop_map(|fingerprint| Op::Poisoned { fingerprint }),
         1 => (0..10usize, 0..20u64, 1..4u64, any::<bool>()).prop_map(
             |(target, seq, prefix, stored)| Op::Cache { target, seq, prefix, stored }
         ),
         1 => prop::bool::weighted(0.02).prop_map(|drain| {
-            if drain { Op::Drain } else { Op::Pass { ms: 1 } }
+            if drain { Op::Drain } else { Op::Advance { ms: 1 } }
         }),
-        8 => (0..700u64).prop_map(|ms| Op::Pass { ms }),
+        8 => (0..700u64).prop_map(|ms| Op::Advance { ms }),
     ]
 }
 
 fn run(state: Box<dyn Reducer>, ops: &[Op]) -> String {
-    let mut check = Check::new(state);
+    let mut oracle = Oracle::new(state);
     for op in ops {
-        check.op(op.clone());
+        oracle.apply(op.clone());
     }
-    check.close()
+    oracle.finish()
 }
 
-fn full(without: &[Decision]) -> Box<dyn Reducer> {
-    Box::new(State::new(placed(), without))
+fn full(disabled: &[Decision]) -> Box<dyn Reducer> {
+    Box::new(State::new(host_context(), disabled))
 }
 
 proptest! {
@@ -80,20 +80,20 @@
     })]
 
     #[test]
-    fn full_policy_keeps_its_promises(ops in prop::collection::vec(op(), 1..250)) {
+    fn full_policy_keeps_invariants(ops in prop::collection::vec(op(), 1..250)) {
         run(full(&[]), &ops);
     }
 
     #[test]
-    fn any_decision_left_out_keeps_them(
-        without in prop::sample::subsequence(Decision::ALL.to_vec(), 0..=10),
+    fn policy_with_disabled_decisions_keeps_invariants(
+        disabled in prop::sample::subsequence(Decision::ALL.to_vec(), 0..=10),
         ops in prop::collection::vec(op(), 1..200),
     ) {
-        run(full(&without), &ops);
+        run(full(&disabled), &ops);
     }
 
     #[test]
-    fn baseline_keeps_them(ops in prop::collection::vec(op(), 1..200)) {
+    fn baseline_keeps_invariants(ops in prop::collection::vec(op(), 1..200)) {
         run(Box::new(Naive::new()), &ops);
     }
 
