--- a/crates/policy/tests/promises.rs
+++ b/crates/policy/tests/promises.rs
@@ -35,7 +35,9 @@
     let pick = 0..64usize;
     prop_oneof![
         8 => (0..3usize, 0..4usize, prop::bool::weighted(0.2), 1..9_000u64, 0..12u64).prop_map(
-            |(workspace, pipeline, resent, left, fingerprint)| Op::Arrive { workspace, pipeline, resent, left, fingerprint }
+            |(workspace, pipeline, resent, left, fingerprint)| {
+                Op::Arrive { workspace, pipeline, resent, left, fingerprint }
+            }
         ),
         6 => (pick.clone(), grant).prop_map(|(pick, grant)| Op::Grant { pick, grant }),
         10 => pick.clone().prop_map(|pick| Op::Sent { pick }),
