--- a/crates/edge/src/choose.rs
+++ b/crates/edge/src/choose.rs
@@ -82,7 +82,7 @@
     let now = core.clock.now();
     let serves = |l: &Arc<Link>| l.health().usable(now) && core.allows(&call.residency, l);
     let usable: Vec<&Arc<Link>> = links.of(&call.service).iter().filter(|l| serves(l)).collect();
-    let age = |l: &Link| readers.iter().position(|r| r == l.life().as_str());
+    let age = |l: &Link| readers.iter().position(|r| r == l.incarnation().as_str());
     let known = usable.iter().filter(|l| knows(l, subject, readers));
     let near = known.min_by_key(|l| (distance(core, &link.entry.domain, &l.entry.domain), age(l)));
     let named = || base::rendezvous(&subject.to_le_bytes(), usable.iter(), |l| l.name());
@@ -91,7 +91,7 @@
 }
 
 fn knows(link: &Link, subject: u64, readers: &[String]) -> bool {
-    link.subjects().knows(subject) || readers.iter().any(|r| r == link.life().as_str())
+    link.subjects().knows(subject) || readers.iter().any(|r| r == link.incarnation().as_str())
 }
 
 fn candidate<'a>(core: &Core, now: Ms, link: &'a Link, want: Want<'_>) -> Candidate<'a> {
--- a/crates/edge/src/core.rs
+++ b/crates/edge/src/core.rs
@@ -175,17 +175,17 @@
 
     /// Another host has sent an engine a prompt that takes `time` to read.
     pub(crate) fn read_elsewhere(&self, life: &str, time: Ms) {
-        if let Some(link) = self.life(life) {
+        if let Some(link) = self.incarnation(life) {
             link.backlog().sent(self.clock.now(), time);
         }
     }
 
     /// One life of a target, while it is known.
-    pub(crate) fn life(&self, life: &str) -> Option<Arc<Link>> {
+    pub(crate) fn incarnation(&self, life: &str) -> Option<Arc<Link>> {
         // Its life follows its name.
         let name = life.rsplit_once('@').map_or(life, |(name, _)| name);
         let links = self.links();
-        links.named(&name.into()).filter(|l| l.life().as_str() == life).cloned()
+        links.named(&name.into()).filter(|l| l.incarnation().as_str() == life).cloned()
     }
 
     /// Engines by the subjects that they have read, for those that this host keeps the list of.
--- a/crates/edge/src/links.rs
+++ b/crates/edge/src/links.rs
@@ -80,7 +80,7 @@
     }
 
     /// Its name with the start of this life.
-    pub(crate) fn life(&self) -> TargetId {
+    pub(crate) fn incarnation(&self) -> TargetId {
         TargetId::from(format!("{}@{}", self.entry.id, self.entry.born))
     }
 
--- a/crates/edge/src/notices.rs
+++ b/crates/edge/src/notices.rs
@@ -36,13 +36,13 @@
 
 fn take_limit(core: &Core, link: &Link, limit: Option<f64>) {
     if hear_limit(core, link, limit).is_some() {
-        core.members.limited(&link.entry.domain, &link.life(), limit);
+        core.members.limited(&link.entry.domain, &link.incarnation(), limit);
     }
 }
 
 /// Another host has been told of a limit, or of its end.
 pub(crate) fn told(core: &Core, word: &TargetLimit) {
-    if let Some(link) = core.life(&word.target) {
+    if let Some(link) = core.incarnation(&word.target) {
         hear_limit(core, &link, word.per_second);
     }
 }
--- a/crates/edge/src/plain.rs
+++ b/crates/edge/src/plain.rs
@@ -194,7 +194,7 @@
 /// must know.
 pub(crate) fn crashed(core: &Core, call: &Call, link: &Link) {
     let now = core.clock.now();
-    let life = link.life();
+    let life = link.incarnation();
     let news = core.poison().record(now, call.fingerprint, &life);
     if news {
         core.members.crashed(call.fingerprint, &life);
--- a/crates/edge/src/subjects.rs
+++ b/crates/edge/src/subjects.rs
@@ -81,7 +81,7 @@
         return;
     }
     let (service, subject) = (call.service.as_str(), call.ask.subject());
-    let target = link.life();
+    let target = link.incarnation();
     match core.members.keeper(subject) {
         Some(Owner::Peer { host, addr }) => {
             let (service, target) = (service.to_owned(), target.as_str().to_owned());
