--- a/crates/edge/src/composer/serve.rs
+++ b/crates/edge/src/composer/serve.rs
@@ -10,7 +10,7 @@
 };
 
 use super::Composer;
-use crate::{notices, shared, tell};
+use crate::{notices, store_sync, tell};
 
 /// The composer, for other hosts.
 pub(crate) struct StageService(pub(crate) Arc<Composer>);
@@ -47,6 +47,6 @@
     }
 
     async fn store(&self, query: StoreQuery) -> StoreNews {
-        shared::answer(&self.0.core, query).await
+        store_sync::answer(&self.0.core, query).await
     }
 }
--- a/crates/edge/src/core.rs
+++ b/crates/edge/src/core.rs
@@ -25,7 +25,7 @@
 use crate::metrics::Metrics;
 use crate::pulse::Pulses;
 use crate::settings::Settings;
-use crate::shared::Packed;
+use crate::store_sync::Packed;
 
 /// The shared state.
 pub(crate) struct Core {
--- a/crates/edge/src/source.rs
+++ b/crates/edge/src/source.rs
@@ -12,7 +12,7 @@
 use crate::directory::Directory;
 use crate::follow;
 use crate::members::Owner;
-use crate::shared;
+use crate::store_sync;
 
 /// Time from the start until a host asks others, ms: by then it knows them. Asked sooner, each of
 /// a fleet that starts at once would name another reader.
@@ -128,7 +128,7 @@
             note!(logs::Event::PeerFailed, host = %host, call = "store", why = %err);
             core.sources().failed(now, host, SourceFault::Unreachable);
         }
-        Ok(news) => match shared::take(core, directory, sent, news) {
+        Ok(news) => match store_sync::take(core, directory, sent, news) {
             Ok(()) if !core.blind() => core.sources().helped(),
             taken => {
                 let why = taken.err().map(|err| err.to_string());
