--- a/crates/edge/src/composer/far.rs
+++ b/crates/edge/src/composer/far.rs
@@ -102,7 +102,7 @@
     }
 
     /// Asks the other regions for their loads of the services that this host composes.
-    pub(crate) async fn watch_far(self: Arc<Self>) {
+    pub(crate) async fn poll_region_loads(self: Arc<Self>) {
         loop {
             tokio::time::sleep(FAR_LOOK.duration()).await;
             let names: Vec<PoolId> = lock(&self.services).keys().cloned().collect();
--- a/crates/edge/src/host.rs
+++ b/crates/edge/src/host.rs
@@ -125,7 +125,7 @@
             tokio::spawn(evacuate::follow(core.clone(), directory.clone())),
             tokio::spawn(source::follow(core.clone(), directory)),
             tokio::spawn(reload::follow(core.clone(), path, changed)),
-            tokio::spawn(composer.watch_far()),
+            tokio::spawn(composer.poll_region_loads()),
             tokio::spawn(tell::crashes(core.clone(), told.crashes)),
             tokio::spawn(tell::prompts(core.clone(), told.prompts)),
             tokio::spawn(tell::limits(core.clone(), told.limits)),
