--- a/crates/edge/src/core/known.rs
+++ b/crates/edge/src/core/known.rs
@@ -51,7 +51,7 @@
 
 impl Core {
     /// A read that can't be stale was sent at `sent`, and `found` was the newest.
-    pub(crate) fn take_catalog(&self, sent: Ms, found: Option<&Declared>) {
+    pub(crate) fn apply_catalog(&self, sent: Ms, found: Option<&Declared>) {
         self.prove(sent);
         let Some(found) = found else { return };
         let version = found.catalog.version;
@@ -86,7 +86,7 @@
     }
 
     /// Takes what was learned of evacuated failure domains.
-    pub(crate) fn take_evacuations(
+    pub(crate) fn apply_evacuations(
         &self,
         learn: impl FnOnce(&mut Evacuations) -> Vec<EvacuationEvent>,
     ) {
@@ -163,7 +163,7 @@
     }
 
     /// Takes the list of all targets. `names` are also those of entries that can't be read.
-    pub(crate) fn take_list(&self, revision: u64, entries: Vec<Entry>, names: Vec<TargetId>) {
+    pub(crate) fn apply_target_list(&self, revision: u64, entries: Vec<Entry>, names: Vec<TargetId>) {
         let now = self.clock.now();
         let mut known = lock(&self.known);
         let updates = known.registry.differs(&entries, &names);
@@ -174,7 +174,7 @@
     }
 
     /// Takes all changes of targets up to `revision`.
-    pub(crate) fn take_updates(&self, revision: u64, updates: Vec<Update>) {
+    pub(crate) fn apply_target_updates(&self, revision: u64, updates: Vec<Update>) {
         let now = self.clock.now();
         let mut known = lock(&self.known);
         known.log.append(revision, updates.clone());
--- a/crates/edge/src/evacuate.rs
+++ b/crates/edge/src/evacuate.rs
@@ -57,7 +57,7 @@
     let sent = core.clock.now();
     let (records, revision) = list(core, directory, Kind::Evacuations).await?;
     let domains = records.into_iter().filter_map(domain).collect();
-    core.take_evacuations(|held| held.list(sent, revision.0, domains));
+    core.apply_evacuations(|held| held.list(sent, revision.0, domains));
     Ok(())
 }
 
--- a/crates/edge/src/follow.rs
+++ b/crates/edge/src/follow.rs
@@ -51,7 +51,7 @@
         match read_catalog(directory.as_ref()).await {
             Ok(found) => {
                 pause.good();
-                core.take_catalog(sent, found.as_ref());
+                core.apply_catalog(sent, found.as_ref());
                 let rest = read_every(&core) - (core.clock.now() - sent);
                 tokio::time::sleep(rest.duration()).await;
             }
@@ -99,7 +99,7 @@
     let sent = core.clock.now();
     core.metrics.store_call("read");
     let found = read_catalog(directory).await?;
-    core.take_catalog(sent, found.as_ref());
+    core.apply_catalog(sent, found.as_ref());
     evacuate::once(core, directory).await?;
     let Some(since) = core.revision() else { return Ok(()) };
     core.metrics.store_call("watch");
@@ -121,7 +121,7 @@
         Change::Removed(id) => Update::Removed(id),
         Change::Set(record) => update(record),
     });
-    core.take_updates(revision.0, updates.collect());
+    core.apply_target_updates(revision.0, updates.collect());
     Ok(changed)
 }
 
@@ -200,7 +200,7 @@
                 Update::Set(entry) => Some(entry),
                 Update::Malformed(_) | Update::Removed(_) => None,
             });
-            core.take_list(revision.0, entries.collect(), names);
+            core.apply_target_list(revision.0, entries.collect(), names);
             list_at = core.clock.now() + LIST_EVERY;
             continue;
         };
--- a/crates/edge/src/store_sync.rs
+++ b/crates/edge/src/store_sync.rs
@@ -163,7 +163,7 @@
     if let Some(told) = &news.evacuation {
         let domains = told.domains.iter().map(|d| DomainId::from(d.as_str())).collect();
         let at = proved(core, sent, told.proof_ms);
-        core.take_evacuations(|held| held.list(at, told.revision, domains));
+        core.apply_evacuations(|held| held.list(at, told.revision, domains));
     }
     take_targets(core, &news);
     let found = match news.catalog.is_empty() {
@@ -175,7 +175,7 @@
         return Err(NewsError::Withheld(news.version));
     }
     if news.proved {
-        core.take_catalog(proved(core, sent, news.proof_ms), found.as_ref());
+        core.apply_catalog(proved(core, sent, news.proof_ms), found.as_ref());
     }
     Ok(())
 }
@@ -189,11 +189,11 @@
                 Update::Set(entry) => Some(entry),
                 Update::Malformed(_) | Update::Removed(_) => None,
             });
-            core.take_list(news.revision, entries.collect(), names);
+            core.apply_target_list(news.revision, entries.collect(), names);
         }
         // A host that knows no target says nothing of them.
         false if news.revision == 0 => {}
-        false => core.take_updates(news.revision, updates),
+        false => core.apply_target_updates(news.revision, updates),
     }
 }
 
