--- a/crates/edge/src/core/known.rs
+++ b/crates/edge/src/core/known.rs
@@ -118,7 +118,7 @@
 
     /// Whether the newest proof is older than it may be on a host that the store, or one that reads
     /// it, answers.
-    pub(crate) fn blind(&self) -> bool {
+    pub(crate) fn proof_overdue(&self) -> bool {
         let bounds = &self.settings().bounds;
         if let Some(most) = bounds.evacuate_ms.map(|bound| bound.scale(BLIND_EVACUATION, 100)) {
             let proved = self.gate.evacuations().proved();
--- a/crates/edge/src/source.rs
+++ b/crates/edge/src/source.rs
@@ -82,7 +82,7 @@
 fn next(core: &Core) -> Next {
     let now = core.clock.now();
     let named = named(core, now);
-    if matches!(named, Some(Owner::Me)) && core.blind() {
+    if matches!(named, Some(Owner::Me)) && core.proof_overdue() {
         // The store turns this host away, or it is cut off: another may still be served.
         core.sources().failed(now, core.members.me(), SourceFault::Blind);
     }
@@ -117,7 +117,7 @@
         version: core.version().unwrap_or_default(),
         revision: core.revision().unwrap_or_default(),
         wait_ms: wait(core).0,
-        urgent: core.blind(),
+        urgent: core.proof_overdue(),
         evacuation: core.gate.evacuations().known().unwrap_or_default(),
     };
     let sent = core.clock.now();
@@ -129,7 +129,7 @@
             core.sources().failed(now, host, SourceFault::Unreachable);
         }
         Ok(news) => match store_sync::take(core, directory, sent, news) {
-            Ok(()) if !core.blind() => core.sources().helped(),
+            Ok(()) if !core.proof_overdue() => core.sources().helped(),
             taken => {
                 let why = taken.err().map(|err| err.to_string());
                 note!(logs::Event::PeerFailed, host = %host, call = "store", why);
--- a/crates/edge/src/store_sync.rs
+++ b/crates/edge/src/store_sync.rs
@@ -73,7 +73,7 @@
     loop {
         let news = news(core, &query, arrived);
         let rest = end - core.clock.now();
-        let young = query.urgent && !core.blind();
+        let young = query.urgent && !core.proof_overdue();
         let newer = core.gate.evacuations().changed() > Some(query.evacuation);
         let changed = newer || !news.catalog.is_empty() || !news.updates.is_empty();
         if young || changed || rest == Ms::ZERO {
