--- a/crates/edge/src/core/known.rs
+++ b/crates/edge/src/core/known.rs
@@ -204,7 +204,7 @@
     }
 
     /// A target has said itself, in this life, that it leaves.
-    pub(crate) fn leaves(&self, entry: &Entry) {
+    pub(crate) fn mark_leaving(&self, entry: &Entry) {
         let mut known = lock(&self.known);
         let events = known.registry.leaves(self.clock.now(), &entry.id, entry.born);
         self.note(&mut known, events);
--- a/crates/edge/src/links.rs
+++ b/crates/edge/src/links.rs
@@ -124,12 +124,12 @@
     }
 
     /// What it says of its load.
-    pub(crate) fn said(&self, now: Ms, load: Load) {
+    pub(crate) fn set_load(&self, now: Ms, load: Load) {
         *self.load.lock().unwrap_or_else(PoisonError::into_inner) = Some((now, load));
     }
 
     /// It says that it leaves. Gives whether that is news.
-    pub(crate) fn leaves(&self) -> bool {
+    pub(crate) fn mark_leaving(&self) -> bool {
         !self.leaving.swap(true, Ordering::Relaxed)
     }
 
--- a/crates/edge/src/notices.rs
+++ b/crates/edge/src/notices.rs
@@ -17,16 +17,16 @@
     }
     let Notice { load, limit, leaving, pause } = head.notice;
     if let Some(load) = load {
-        link.said(core.clock.now(), load);
+        link.set_load(core.clock.now(), load);
     }
     if let Some(pause) = pause {
         core.metrics.notice(link.entry.service.as_str(), "paused");
         link.pause(core.clock.now() + pause);
     }
-    if leaving && link.leaves() {
+    if leaving && link.mark_leaving() {
         core.metrics.notice(link.entry.service.as_str(), "leaving");
         note!(logs::Event::TargetSaysLeaving, target = link.name());
-        core.leaves(&link.entry);
+        core.mark_leaving(&link.entry);
     }
     // Failures don't always say all that the target has to say.
     if limit.is_some() || parts.status.is_success() {
