--- a/crates/edge/src/core/known.rs
+++ b/crates/edge/src/core/known.rs
@@ -152,7 +152,7 @@
     }
 
     /// Until `until`, targets that are missing count as lapsed.
-    pub(crate) fn lapsed(&self, until: Ms) {
+    pub(crate) fn keep_missing_until(&self, until: Ms) {
         let mut known = lock(&self.known);
         known.lapse = known.lapse.max(until);
     }
--- a/crates/edge/src/follow.rs
+++ b/crates/edge/src/follow.rs
@@ -194,7 +194,7 @@
             let (records, revision) = list(core, directory, Kind::Targets).await?;
             pause.good();
             let lapse = gap.listed(core.clock.now());
-            lapse.into_iter().for_each(|until| core.lapsed(until));
+            lapse.into_iter().for_each(|until| core.keep_missing_until(until));
             let names = records.iter().map(|r| r.name.clone()).collect();
             let entries = records.into_iter().filter_map(|r| match update(r) {
                 Update::Set(entry) => Some(entry),
--- a/crates/edge/src/store_sync.rs
+++ b/crates/edge/src/store_sync.rs
@@ -157,7 +157,7 @@
     news: StoreNews,
 ) -> Result<(), NewsError> {
     if news.lapse_ms > 0 {
-        core.lapsed(core.clock.now() + Ms(news.lapse_ms));
+        core.keep_missing_until(core.clock.now() + Ms(news.lapse_ms));
     }
     // Before the targets: those of an evacuated domain get nothing from the start.
     if let Some(told) = &news.evacuation {
