--- a/crates/edge/src/directory.rs
+++ b/crates/edge/src/directory.rs
@@ -87,7 +87,7 @@
 pub enum DirectoryError {
     /// What happened since the given revision is forgotten; list again.
     #[error("the store has forgotten its history")]
-    Forgotten,
+    Compacted,
     /// The store turns the call away.
     #[error("the store turns calls away with status {0}")]
     Busy(u16),
--- a/crates/edge/src/follow.rs
+++ b/crates/edge/src/follow.rs
@@ -162,7 +162,7 @@
 
     fn failed(&mut self, err: &DirectoryError) {
         match err {
-            DirectoryError::Forgotten => self.forgotten = true,
+            DirectoryError::Compacted => self.forgotten = true,
             DirectoryError::Busy(_) | DirectoryError::Down | DirectoryError::Malformed(_) => {
                 self.lapsed = true;
             }
