--- a/crates/edge/src/choose.rs
+++ b/crates/edge/src/choose.rs
@@ -11,7 +11,7 @@
 
 /// What kind of choice.
 #[derive(Clone, Copy, Debug)]
-pub(crate) enum Want<'a> {
+pub(crate) enum Selection<'a> {
     /// A target for a plain request; `risky` when a failed send can't be made up for.
     Plain {
         /// See above.
@@ -34,7 +34,7 @@
 pub(crate) fn choose(
     core: &Core,
     call: &Call,
-    want: Want<'_>,
+    want: Selection<'_>,
     tried: &[Arc<Link>],
 ) -> Result<Arc<Link>, Barrier> {
     let now = core.clock.now();
@@ -60,8 +60,8 @@
     let candidates: Vec<Candidate<'_>> =
         open.iter().map(|l| candidate(core, now, l, want)).collect();
     let chosen = match want {
-        Want::Plain { risky } => place::plain(&candidates, risky),
-        Want::Engine { subject, copy, .. } => place::engine(&candidates, subject, copy),
+        Selection::Plain { risky } => place::plain(&candidates, risky),
+        Selection::Engine { subject, copy, .. } => place::engine(&candidates, subject, copy),
     };
     chosen.map(|i| open[i].clone()).ok_or(barrier)
 }
@@ -94,11 +94,11 @@
     link.subjects().knows(subject) || readers.iter().any(|r| r == link.incarnation().as_str())
 }
 
-fn candidate<'a>(core: &Core, now: Ms, link: &'a Link, want: Want<'_>) -> Candidate<'a> {
+fn candidate<'a>(core: &Core, now: Ms, link: &'a Link, want: Selection<'_>) -> Candidate<'a> {
     let settings = core.settings();
     let (home, knows) = match want {
-        Want::Plain { .. } => (&settings.domain, false),
-        Want::Engine { subject, readers, home, .. } => (home, knows(link, subject, readers)),
+        Selection::Plain { .. } => (&settings.domain, false),
+        Selection::Engine { subject, readers, home, .. } => (home, knows(link, subject, readers)),
     };
     let health = link.health();
     Candidate {
--- a/crates/edge/src/plain.rs
+++ b/crates/edge/src/plain.rs
@@ -10,7 +10,7 @@
 use std::sync::Arc;
 
 use crate::body::{Out, whole};
-use crate::choose::{Want, choose};
+use crate::choose::{Selection, choose};
 use crate::core::Core;
 use crate::dialect::Onward;
 use crate::links::Link;
@@ -54,7 +54,7 @@
         if sends > 0 && !core.budget().take(now, &call.service) {
             break if runs > 0 { Reason::Failed } else { Reason::NoTarget };
         }
-        let want = Want::Plain { risky: !again };
+        let want = Selection::Plain { risky: !again };
         let link = match choose(core, call, want, &tried) {
             Ok(link) => link,
             Err(barrier) => break if runs > 0 { Reason::Failed } else { barrier.into() },
--- a/crates/edge/src/relay.rs
+++ b/crates/edge/src/relay.rs
@@ -10,7 +10,7 @@
 use std::sync::Arc;
 
 use crate::body::{Out, whole};
-use crate::choose::{Want, choose, source};
+use crate::choose::{Selection, choose, source};
 use crate::core::Core;
 use crate::events::EventStream;
 use crate::gate::Barrier;
@@ -181,7 +181,7 @@
         let subject = self.call.ask.subject();
         let home = self.results.home().unwrap_or(&self.core.settings().domain).clone();
         let (copy, readers) = (self.copy_time(), self.readers.as_slice());
-        let want = Want::Engine { subject, copy, readers, home: &home };
+        let want = Selection::Engine { subject, copy, readers, home: &home };
         let link = match choose(&self.core, &self.call, want, &self.tried) {
             Ok(link) => link,
             Err(barrier) => return Sent::Barred(barrier),
