--- a/crates/edge/src/relay/forward.rs
+++ b/crates/edge/src/relay/forward.rs
@@ -57,7 +57,7 @@
         open.link.record(now, Outcome::Good(took));
         let ask = &self.call.ask;
         open.link.subjects().record(ask.subject(), ask.shared_tokens(), memory);
-        subjects::tell(&self.core, &self.call, &open.link);
+        subjects::report_reader(&self.core, &self.call, &open.link);
         if open.alone {
             let tokens = self.call.ask.own_tokens();
             self.core.estimate().record_first(&self.call.service, tokens, took);
--- a/crates/edge/src/stream.rs
+++ b/crates/edge/src/stream.rs
@@ -16,7 +16,7 @@
 /// Runs it and gives the caller's answer; the events follow as the answer's body.
 pub(crate) async fn run(app: Arc<App>, call: Call) -> Response<Out> {
     let core = app.core.clone();
-    let readers = subjects::ask(&core, &call);
+    let readers = subjects::find_readers(&core, &call);
     let done = tokio::select! {
         done = stages::run(&app, &call) => done,
         // Begun now, its stream would be cut when the host's time is over.
--- a/crates/edge/src/subjects.rs
+++ b/crates/edge/src/subjects.rs
@@ -45,7 +45,7 @@
 }
 
 /// Asks which engines have read the subject of a prompt.
-pub(crate) fn ask(core: &Arc<Core>, call: &Call) -> Readers {
+pub(crate) fn find_readers(core: &Arc<Core>, call: &Call) -> Readers {
     if !pays(core, call) {
         return Readers::Known(Vec::new());
     }
@@ -76,7 +76,7 @@
 }
 
 /// Tells the host that keeps the list that an engine has read the subject of a prompt.
-pub(crate) fn tell(core: &Arc<Core>, call: &Call, link: &Link) {
+pub(crate) fn report_reader(core: &Arc<Core>, call: &Call, link: &Link) {
     if !pays(core, call) {
         return;
     }
