--- a/crates/edge/src/core.rs
+++ b/crates/edge/src/core.rs
@@ -208,7 +208,7 @@
     }
 
     /// Whether this host reads the store itself from now on.
-    pub(crate) fn set_reading(&self, reads: bool) {
+    pub(crate) fn set_store_reader(&self, reads: bool) {
         let changed =
             self.reading.send_if_modified(|reading| std::mem::replace(reading, reads) != reads);
         match reads {
@@ -219,7 +219,7 @@
     }
 
     /// Whether this host reads the store itself, and changes of that.
-    pub(crate) fn reading(&self) -> watch::Receiver<bool> {
+    pub(crate) fn store_reader(&self) -> watch::Receiver<bool> {
         self.reading.subscribe()
     }
 
--- a/crates/edge/src/evacuate.rs
+++ b/crates/edge/src/evacuate.rs
@@ -19,7 +19,7 @@
 /// Keeps the evacuated domains current. Does nothing where there are none to be expected.
 pub(crate) async fn follow(core: Arc<Core>, directory: Arc<dyn Directory>) {
     let mut pause = Pause::default();
-    let mut reading = core.reading();
+    let mut reading = core.store_reader();
     loop {
         // The sender lives in `core`, so the wait can't fail.
         let _ = reading.wait_for(|reads| *reads).await;
--- a/crates/edge/src/follow.rs
+++ b/crates/edge/src/follow.rs
@@ -42,7 +42,7 @@
 /// Keeps the configuration current.
 pub(crate) async fn catalog(core: Arc<Core>, directory: Arc<dyn Directory>) {
     let mut pause = Pause::default();
-    let mut reading = core.reading();
+    let mut reading = core.store_reader();
     loop {
         // The sender lives in `core`, so the wait can't fail.
         let _ = reading.wait_for(|reads| *reads).await;
@@ -129,11 +129,11 @@
 pub(crate) async fn targets(core: Arc<Core>, directory: Arc<dyn Directory>) {
     let mut gap = Gap::default();
     let mut pause = Pause::default();
-    let mut reading = core.reading();
+    let mut reading = core.store_reader();
     loop {
         // The sender lives in `core`, so the waits can't fail.
         let _ = reading.wait_for(|reads| *reads).await;
-        let mut ended = core.reading();
+        let mut ended = core.store_reader();
         let result = tokio::select! {
             result = follow(&core, directory.as_ref(), &mut pause, &mut gap) => result,
             _ = ended.wait_for(|reads| !*reads) => Ok(()),
--- a/crates/edge/src/source.rs
+++ b/crates/edge/src/source.rs
@@ -71,7 +71,7 @@
 
 /// A host that has just started reads until it holds all, and then waits for word of the others.
 fn settle(core: &Core) -> Next {
-    core.set_reading(!loaded(core) || core.sources().reads(core.clock.now()));
+    core.set_store_reader(!loaded(core) || core.sources().reads(core.clock.now()));
     Next::Rest
 }
 
@@ -89,11 +89,11 @@
     let asked = core.sources().reads(now);
     match named {
         Some(Owner::Peer { host, addr }) => {
-            core.set_reading(asked || !loaded(core));
+            core.set_store_reader(asked || !loaded(core));
             Next::Ask(host, addr)
         }
         Some(Owner::Me) | None => {
-            core.set_reading(true);
+            core.set_store_reader(true);
             Next::Rest
         }
     }
--- a/crates/edge/src/store_sync.rs
+++ b/crates/edge/src/store_sync.rs
@@ -69,7 +69,7 @@
     let end = arrived + Ms(query.wait_ms).min(WAIT_MOST);
     let (mut moved, mut proofs) = (core.moved.subscribe(), core.proofs());
     core.sources().asked(arrived);
-    core.set_reading(true);
+    core.set_store_reader(true);
     loop {
         let news = news(core, &query, arrived);
         let rest = end - core.clock.now();
