--- a/crates/edge/src/source.rs
+++ b/crates/edge/src/source.rs
@@ -128,7 +128,7 @@
             note!(logs::Event::PeerFailed, host = %host, call = "store", why = %err);
             core.sources().failed(now, host, SourceFault::Unreachable);
         }
-        Ok(news) => match store_sync::take(core, directory, sent, news) {
+        Ok(news) => match store_sync::apply(core, directory, sent, news) {
             Ok(()) if !core.proof_overdue() => core.sources().helped(),
             taken => {
                 let why = taken.err().map(|err| err.to_string());
--- a/crates/edge/src/store_sync.rs
+++ b/crates/edge/src/store_sync.rs
@@ -150,7 +150,7 @@
 /// The proof is as old as that host says, counted back from before the query was sent: each delay
 /// on the way, and any pause of either host, makes it older than it is and never younger. It counts
 /// only for the configuration that came with it.
-pub(crate) fn take(
+pub(crate) fn apply(
     core: &Core,
     directory: &dyn Directory,
     sent: Ms,
