--- a/crates/edge/src/choose.rs
+++ b/crates/edge/src/choose.rs
@@ -1,4 +1,4 @@
-//! From the known targets to a choice.
+//! Selects a target for a request from the known ones.
 
 use base::{DomainId, Ms};
 use sched::place::{self, Candidate, Distance};
@@ -9,37 +9,38 @@
 use crate::links::Link;
 use crate::request::Call;
 
-/// What kind of choice.
+/// What a target is selected for.
 #[derive(Clone, Copy, Debug)]
 pub(crate) enum Selection<'a> {
-    /// A target for a plain request; `risky` when a failed send can't be made up for.
+    /// A request with one whole answer.
     Plain {
-        /// See above.
+        /// Whether a failed send can't be retried.
         risky: bool,
     },
-    /// An engine for a prompt about this subject.
+    /// A prompt, for which an engine is selected.
     Engine {
-        /// Hash of the part that requests share.
+        /// Id of the prompt's subject: the last part of the prompt that other requests share.
         subject: u64,
-        /// Time to copy its memory from another engine, ms.
+        /// Time to copy the shared part from the cache of another engine.
         copy: Ms,
-        /// Lives of engines that have read it, the newest first.
+        /// Incarnations of engines that have read it, the newest first.
         readers: &'a [String],
-        /// Failure domain where it should run: where the results that it reads lie.
+        /// Failure domain where it should run: the one that holds the stage results it reads.
         home: &'a DomainId,
     },
 }
 
-/// The target for a request, none of `tried` as long as there are others.
+/// Selects the target for a request among those that were not tried yet. If there is none, returns
+/// why.
 pub(crate) fn choose(
     core: &Core,
     call: &Call,
-    want: Selection<'_>,
+    selection: Selection<'_>,
     tried: &[Arc<Link>],
 ) -> Result<Arc<Link>, Barrier> {
     let now = core.clock.now();
     let links = core.links();
-    let mut barrier = match links.barred(&call.service) {
+    let mut barrier = match links.has_evacuated_targets(&call.service) {
         true => Barrier::Evacuated,
         false => Barrier::NoTarget,
     };
@@ -58,47 +59,49 @@
         }
     }
     let candidates: Vec<Candidate<'_>> =
-        open.iter().map(|l| candidate(core, now, l, want)).collect();
-    let chosen = match want {
+        open.iter().map(|l| candidate(core, now, l, selection)).collect();
+    let chosen = match selection {
         Selection::Plain { risky } => place::plain(&candidates, risky),
         Selection::Engine { subject, copy, .. } => place::engine(&candidates, subject, copy),
     };
     chosen.map(|i| open[i].clone()).ok_or(barrier)
 }
 
-/// Another engine that knows a subject, for `link` to copy its memory from: the nearest that has
-/// read it, else the one of the whole fleet that all hosts name for it.
-pub(crate) fn source(
+/// Another engine from whose cache `link` can copy a subject: the nearest that is known to have
+/// read it, otherwise the one that all hosts pick for it by rendezvous hashing over the whole
+/// fleet. None if `link` has read the subject itself.
+pub(crate) fn copy_source(
     core: &Core,
     call: &Call,
     subject: u64,
     readers: &[String],
     link: &Link,
 ) -> Option<Arc<Link>> {
-    if knows(link, subject, readers) {
+    if has_read(link, subject, readers) {
         return None;
     }
     let links = core.links();
     let now = core.clock.now();
-    let serves = |l: &Arc<Link>| l.health().usable(now) && core.allows(&call.residency, l);
-    let usable: Vec<&Arc<Link>> = links.of(&call.service).iter().filter(|l| serves(l)).collect();
+    let is_usable = |l: &Arc<Link>| l.health().usable(now) && core.allows(&call.residency, l);
+    let usable: Vec<&Arc<Link>> = links.of(&call.service).iter().filter(|l| is_usable(l)).collect();
     let age = |l: &Link| readers.iter().position(|r| r == l.incarnation().as_str());
-    let known = usable.iter().filter(|l| knows(l, subject, readers));
-    let near = known.min_by_key(|l| (distance(core, &link.entry.domain, &l.entry.domain), age(l)));
-    let named = || base::rendezvous(&subject.to_le_bytes(), usable.iter(), |l| l.name());
-    let found = near.or_else(named).map(|l| Arc::clone(l));
+    let holders = usable.iter().filter(|l| has_read(l, subject, readers));
+    let nearest = holders.min_by_key(|l| (distance(core, &link.entry.domain, &l.entry.domain), age(l)));
+    let by_hash = || base::rendezvous(&subject.to_le_bytes(), usable.iter(), |l| l.name());
+    let found = nearest.or_else(by_hash).map(|l| Arc::clone(l));
     found.filter(|l| l.entry.id != link.entry.id)
 }
 
-fn knows(link: &Link, subject: u64, readers: &[String]) -> bool {
+/// Whether an engine has read a subject, as this host has seen or `readers` tells.
+fn has_read(link: &Link, subject: u64, readers: &[String]) -> bool {
     link.subjects().knows(subject) || readers.iter().any(|r| r == link.incarnation().as_str())
 }
 
-fn candidate<'a>(core: &Core, now: Ms, link: &'a Link, want: Selection<'_>) -> Candidate<'a> {
+fn candidate<'a>(core: &Core, now: Ms, link: &'a Link, selection: Selection<'_>) -> Candidate<'a> {
     let settings = core.settings();
-    let (home, knows) = match want {
+    let (home, knows) = match selection {
         Selection::Plain { .. } => (&settings.domain, false),
-        Selection::Engine { subject, readers, home, .. } => (home, knows(link, subject, readers)),
+        Selection::Engine { subject, readers, home, .. } => (home, has_read(link, subject, readers)),
     };
     let health = link.health();
     Candidate {
@@ -116,7 +119,7 @@
     }
 }
 
-/// How far a failure domain is from another.
+/// Distance between two failure domains.
 fn distance(core: &Core, from: &DomainId, domain: &DomainId) -> Distance {
     let settings = core.settings();
     match (settings.region_of(from), settings.region_of(domain)) {
--- a/crates/edge/src/composer/mod.rs
+++ b/crates/edge/src/composer/mod.rs
@@ -146,12 +146,12 @@
         Some(service)
     }
 
-    /// Targets of a service that this host composes calls for: those of its own region, and those of
-    /// regions where no other host composes for them. If its own region has targets, the ones
+    /// Targets of a service that this host composes calls for: those of its own region, and those
+    /// of regions where no other host composes for them. If its own region has targets, the ones
     /// elsewhere are reserved for pieces that may not be made in any nearer region.
     ///
-    /// No target may have two composers: each would assume that the target's call slots and its room
-    /// for results are its own, and calls would be rejected or fail for lack of room.
+    /// No target may have two composers: each would assume that the target's call slots and its
+    /// room for results are its own, and calls would be rejected or fail for lack of room.
     fn places(&self, service: &PoolId) -> Vec<Place> {
         let links = self.core.links();
         let settings = self.core.settings();
--- a/crates/edge/src/composer/release.rs
+++ b/crates/edge/src/composer/release.rs
@@ -69,8 +69,8 @@
         handles: Vec<String>,
     ) {
         let link = self.core.links().named(&target).cloned();
-        // A target that limits its request rate has no requests to spare for this: there the results
-        // stay until their time to live ends.
+        // A target that limits its request rate has no requests to spare for this: there the
+        // results stay until their time to live ends.
         if let Some(link) = link.filter(|l| !l.limit().is_named()) {
             let build = || self.core.dialect.stage_free(link.name(), &handles);
             // If the call fails, the target drops the results when their time to live ends.
@@ -90,9 +90,9 @@
     /// Tells the hosts that composed the calls for these results that they have been read, after
     /// `wait`. Their targets then keep them only while there is room.
     ///
-    /// A target reads the inputs of a call when it starts the call. If the inputs were held until the
-    /// call ended, they would occupy the targets that hold them for as long again; where room is
-    /// short, calls there shrink to what is left, and the previous stage loses a third of its
+    /// A target reads the inputs of a call when it starts the call. If the inputs were held until
+    /// the call ended, they would occupy the targets that hold them for as long again; where room
+    /// is short, calls there shrink to what is left, and the previous stage loses a third of its
     /// throughput. Where room is plentiful the inputs stay, so that a piece that fails still finds
     /// them when it is made again.
     pub(super) fn release_read(self: &Arc<Self>, wait: Ms, mut read: Vec<StageRelease>) {
--- a/crates/edge/src/composer/serve.rs
+++ b/crates/edge/src/composer/serve.rs
@@ -1,5 +1,5 @@
-//! Serves calls of other hosts: stage work for the composer, and notices and queries for this host's
-//! shared state.
+//! Serves calls of other hosts: stage work for the composer, and notices and queries for this
+//! host's shared state.
 
 use async_trait::async_trait;
 use base::Ms;
--- a/crates/edge/src/composer/submission.rs
+++ b/crates/edge/src/composer/submission.rs
@@ -23,8 +23,8 @@
     pub(super) done: Option<oneshot::Sender<StageResults>>,
 }
 
-/// When dropped, withdraws pieces that nobody waits for any more and frees the results of those that
-/// are already made.
+/// When dropped, withdraws pieces that nobody waits for any more and frees the results of those
+/// that are already made.
 pub(super) struct Withdraw {
     pub(super) composer: Arc<Composer>,
     pub(super) service: Arc<Service>,
@@ -141,7 +141,8 @@
         }
     }
     if let Some(done) = submission.done.take() {
-        // The submitter may be gone; then the targets drop the results when their time to live ends.
+        // The submitter may be gone; then the targets drop the results when their time to live
+        // ends.
         let _ = done.send(StageResults { results, ..StageResults::default() });
     }
     unread
--- a/crates/edge/src/core.rs
+++ b/crates/edge/src/core.rs
@@ -225,17 +225,18 @@
         self.store_reader.subscribe()
     }
 
-    /// Whether a success is logged, and how many successes that line stands for. A late one is always
-    /// logged, since callers complain of it as of a failure; if it isn't in the sample, its line
-    /// stands for no others and the count is 0.
+    /// Whether a success is logged, and how many successes that line stands for. A late one is
+    /// always logged, since callers complain of it as of a failure; if it isn't in the sample, its
+    /// line stands for no others and the count is 0.
     pub(crate) fn sample(&self, late: bool) -> Option<u64> {
         let sampled = lock(&self.sampler).take(self.clock.now());
         sampled.or(late.then_some(0))
     }
 
-    /// Records that a connection to a target stopped answering during a request. If that happens with
-    /// several targets at about the same time, a device on the network path has lost its connection
-    /// state: all idle connections are dropped, since each would fail the request that is sent on it.
+    /// Records that a connection to a target stopped answering during a request. If that happens
+    /// with several targets at about the same time, a device on the network path has lost its
+    /// connection state: all idle connections are dropped, since each would fail the request that
+    /// is sent on it.
     pub(crate) fn record_silence(&self, link: &Link) {
         link.pool.clear();
         let many = lock(&self.silences).record(self.clock.now(), &link.entry.id);
@@ -252,8 +253,9 @@
         base::hash_parts(&[&n.to_le_bytes()])
     }
 
-    /// Whether the platform should send callers here: there is a configuration, it is proved current
-    /// if it has keys, evacuations are known, there are targets, and the host isn't stopping.
+    /// Whether the platform should send callers here: there is a configuration, it is proved
+    /// current if it has keys, evacuations are known, there are targets, and the host isn't
+    /// stopping.
     pub(crate) fn ready(&self) -> bool {
         let current = match self.declared.load().as_ref() {
             Some(declared) if declared.catalog.needs_keys() => self.proof() == Proof::Current,
@@ -268,8 +270,8 @@
         Ms(self.keep_results.load(Ordering::Relaxed))
     }
 
-    /// Keeps stage results until an engine's answer begins, up to `until`: some were released before
-    /// an engine had read them.
+    /// Keeps stage results until an engine's answer begins, up to `until`: some were released
+    /// before an engine had read them.
     pub(crate) fn set_keep_results(&self, until: Ms) {
         self.keep_results.store(until.0, Ordering::Relaxed);
     }
--- a/crates/edge/src/core/store_view.rs
+++ b/crates/edge/src/core/store_view.rs
@@ -14,8 +14,8 @@
 use crate::gate;
 
 /// Age at which a proof is overdue, in percent of the time within which a revoked key must stop
-/// working. A host that reaches the store has a younger proof: this is the time of two reads, one of
-/// them slow. The rest is left for asking another host.
+/// working. A host that reaches the store has a younger proof: this is the time of two reads, one
+/// of them slow. The rest is left for asking another host.
 const OVERDUE_KEYS_PERCENT: u64 = 40;
 /// The same in percent of the time within which a change must be in force. The rest is left for the
 /// wait of one query, and a read.
@@ -30,14 +30,14 @@
     freshness: Freshness,
     /// Changes of the registry, for hosts that get them from this one.
     log: ChangeLog,
-    /// Until when missing targets are kept, since their registrations may have lapsed in an outage of
-    /// the store.
+    /// Until when missing targets are kept, since their registrations may have lapsed in an outage
+    /// of the store.
     lapse: Ms,
 }
 
 impl StoreView {
-    /// An empty view. `revoke` is the time within which a revoked key must stop working; none if there
-    /// is no such bound.
+    /// An empty view. `revoke` is the time within which a revoked key must stop working; none if
+    /// there is no such bound.
     pub(super) fn new(revoke: Option<Ms>) -> Self {
         Self {
             registry: Registry::default(),
@@ -246,9 +246,9 @@
     fn renew_links(&self, view: &StoreView) {
         let targets = view.registry.targets();
         let evacuated = self.gate.evacuations().domains().clone();
-        let silence = self.settings().bounds.heartbeat_ms.scale(UNHEARD, 1);
+        let rejoin_time = self.settings().bounds.heartbeat_ms.scale(UNHEARD, 1);
         let works = |entry: &Entry| view.registry.takes_work(entry);
-        let next = self.links.load().renew(self.clock.now(), targets, works, evacuated, silence);
+        let next = self.links.load().renew(self.clock.now(), targets, works, evacuated, rejoin_time);
         self.links.store(Arc::new(next));
         self.changed.send_replace(());
     }
--- a/crates/edge/src/links.rs
+++ b/crates/edge/src/links.rs
@@ -1,4 +1,5 @@
-//! The targets that take work, with their connections, health and load.
+//! The targets that take work, with this host's connections to each and what it knows of its health
+//! and load.
 
 use base::{DomainId, Ms, PoolId, TargetId};
 use catalog::{Entry, Target};
@@ -13,20 +14,20 @@
 
 use crate::dialect::Load;
 
-/// Time to connect, ms. Links take up to some 40 ms there and back; a target that does not take a
-/// connection in this time is dark or full, and another is tried, since nothing was sent.
-const CONNECT: Ms = Ms(300);
-/// An idle connection is used again for this long, ms, unless the target says less.
-const IDLE: Ms = Ms::secs(20);
-/// Idle connections kept to one target.
-const IDLE_KEPT: usize = 32;
-/// A target's word on its load counts for this long, ms: the time in which about half of what it
-/// runs is done.
-const LOAD_AGE: Ms = Ms(500);
-
-/// One life of a target.
+/// Time-out for opening a connection. Round trips take up to about 40 ms; a target that does not
+/// accept a connection in this time is down or full, and another is tried, since nothing was sent.
+const CONNECT_TIMEOUT: Ms = Ms(300);
+/// How long an idle connection may be reused, unless the target announces a shorter time.
+const IDLE_TIMEOUT: Ms = Ms::secs(20);
+/// Most idle connections kept to one target.
+const MAX_IDLE: usize = 32;
+/// Age up to which the load that a target reported is used: in this time about half of what it runs
+/// is done.
+const LOAD_MAX_AGE: Ms = Ms(500);
+
+/// One incarnation of a target, from its start to its end, as this host sees it.
 pub(crate) struct Link {
-    /// What it registered.
+    /// Its registration.
     pub(crate) entry: Entry,
     /// Connections to it.
     pub(crate) pool: Pool,
@@ -35,29 +36,30 @@
     load: Mutex<Option<(Ms, Load)>>,
     limit: Mutex<Limit>,
     leaving: AtomicBool,
-    /// Until when it wants nothing from this host, ms.
+    /// Until when it has asked this host to send nothing, ms.
     paused: AtomicU64,
     backlog: Mutex<Backlog>,
     subjects: Mutex<Subjects>,
     warmth: Mutex<Warmth>,
-    /// Time in which it would have registered again, had it been lost, ms.
-    unheard: Ms,
+    /// Time after a failed connection within which it would register again if it had been
+    /// restarted.
+    rejoin_time: Ms,
 }
 
 /// Counts a request as open at a target until it is dropped.
-pub(crate) struct OpenAt(Arc<Link>);
+pub(crate) struct OpenRequest(Arc<Link>);
 
-impl Drop for OpenAt {
+impl Drop for OpenRequest {
     fn drop(&mut self) {
         self.0.open.fetch_sub(1, Ordering::Relaxed);
     }
 }
 
 impl Link {
-    fn new(now: Ms, entry: Entry, unheard: Ms) -> Self {
+    fn new(now: Ms, entry: Entry, rejoin_time: Ms) -> Self {
         let mut warmth = Warmth::default();
         warmth.cold_until(now + entry.warmup);
-        let config = PoolConfig { connect_ms: CONNECT, idle: IDLE_KEPT, idle_ms: IDLE };
+        let config = PoolConfig { connect_ms: CONNECT_TIMEOUT, idle: MAX_IDLE, idle_ms: IDLE_TIMEOUT };
         Self {
             pool: Pool::new(entry.addr, config),
             entry,
@@ -70,7 +72,7 @@
             backlog: Mutex::default(),
             subjects: Mutex::default(),
             warmth: Mutex::new(warmth),
-            unheard,
+            rejoin_time,
         }
     }
 
@@ -79,122 +81,122 @@
         self.entry.id.as_str()
     }
 
-    /// Its name with the start of this life.
+    /// Id of this incarnation: the target's name and start time.
     pub(crate) fn incarnation(&self) -> TargetId {
         TargetId::from(format!("{}@{}", self.entry.id, self.entry.born))
     }
 
-    /// A request begins there.
-    pub(crate) fn begin(self: &Arc<Self>) -> OpenAt {
+    /// Records that a request to it begins.
+    pub(crate) fn begin(self: &Arc<Self>) -> OpenRequest {
         self.health().begin();
         self.open.fetch_add(1, Ordering::Relaxed);
-        OpenAt(self.clone())
+        OpenRequest(self.clone())
     }
 
-    /// What its answers say of it.
+    /// Its health, as learned from the outcomes of requests.
     pub(crate) fn health(&self) -> MutexGuard<'_, Health> {
         self.health.lock().unwrap_or_else(PoisonError::into_inner)
     }
 
-    /// Prompts that it has yet to read.
+    /// Prompts that it has been sent and has yet to read.
     pub(crate) fn backlog(&self) -> MutexGuard<'_, Backlog> {
         self.backlog.lock().unwrap_or_else(PoisonError::into_inner)
     }
 
-    /// What the prompts were about that it has read.
+    /// Subjects of the prompts that it has read.
     pub(crate) fn subjects(&self) -> MutexGuard<'_, Subjects> {
         self.subjects.lock().unwrap_or_else(PoisonError::into_inner)
     }
 
-    /// Whether it is cold, and what it got lately.
+    /// Whether it is cold, and the requests that it got lately.
     pub(crate) fn warmth(&self) -> MutexGuard<'_, Warmth> {
         self.warmth.lock().unwrap_or_else(PoisonError::into_inner)
     }
 
-    /// How a send ended.
+    /// Records the outcome of a request.
     pub(crate) fn record(&self, now: Ms, outcome: Outcome) {
         self.health().record(now, outcome);
         match outcome {
-            // It may have been lost, and come back cold before it is heard of.
+            // It may have been restarted, and be cold before its new registration is known.
             Outcome::NoConnection | Outcome::Broken | Outcome::Silent => {
-                self.warmth().cold_until(now + self.unheard);
+                self.warmth().cold_until(now + self.rejoin_time);
             }
             Outcome::Good(_) | Outcome::Failed | Outcome::Full => {}
         }
     }
 
-    /// What it says of its load.
+    /// Sets the load that it reported.
     pub(crate) fn set_load(&self, now: Ms, load: Load) {
         *self.load.lock().unwrap_or_else(PoisonError::into_inner) = Some((now, load));
     }
 
-    /// It says that it leaves. Gives whether that is news.
+    /// Records that it announced that it is leaving. Returns whether that was unknown before.
     pub(crate) fn mark_leaving(&self) -> bool {
         !self.leaving.swap(true, Ordering::Relaxed)
     }
 
-    /// Whether it has said that it leaves.
+    /// Whether it has announced that it is leaving.
     pub(crate) fn is_leaving(&self) -> bool {
         self.leaving.load(Ordering::Relaxed)
     }
 
-    /// It wants nothing from this host until `until`.
+    /// Sends it nothing until `until`, as it asked.
     pub(crate) fn pause(&self, until: Ms) {
         self.paused.fetch_max(until.0, Ordering::Relaxed);
     }
 
-    /// Time for which it wants nothing from this host.
+    /// Time for which it must still get nothing from this host.
     pub(crate) fn paused(&self, now: Ms) -> Ms {
         Ms(self.paused.load(Ordering::Relaxed)) - now
     }
 
-    /// What it takes from all hosts together, while it says so.
+    /// The limit on requests from all hosts together, while it announces one.
     pub(crate) fn limit(&self) -> MutexGuard<'_, Limit> {
         self.limit.lock().unwrap_or_else(PoisonError::into_inner)
     }
 
-    /// Requests there, as far as is known.
+    /// Number of requests it runs or has queued, as far as is known.
     pub(crate) fn load(&self, now: Ms) -> u32 {
         let open = self.open.load(Ordering::Relaxed);
         match *self.load.lock().unwrap_or_else(PoisonError::into_inner) {
-            Some((at, load)) if now - at <= LOAD_AGE => open.max(load.running + load.waiting),
+            Some((at, load)) if now - at <= LOAD_MAX_AGE => open.max(load.running + load.waiting),
             _ => open,
         }
     }
 }
 
-/// All targets that take work, by service.
+/// All known targets, and those that take work by service.
 #[derive(Default)]
 pub(crate) struct Links {
     by_service: HashMap<PoolId, Vec<Arc<Link>>>,
     by_name: HashMap<TargetId, Arc<Link>>,
-    /// Failure domains whose targets get nothing.
+    /// Failure domains whose targets get no requests.
     evacuated: BTreeSet<DomainId>,
     /// Services that have targets there.
-    barred: BTreeSet<PoolId>,
+    evacuated_services: BTreeSet<PoolId>,
 }
 
 impl Links {
-    /// From the targets that are known; what is the same life of a target as before keeps its
-    /// connections and what was learned of it.
+    /// Rebuilds the links from the known targets. A target of the same incarnation as before keeps
+    /// its link, with its connections and what was learned of it.
     pub(crate) fn renew<'a>(
         &self,
         now: Ms,
         targets: impl Iterator<Item = &'a Arc<Target>>,
         takes_work: impl Fn(&Entry) -> bool,
         evacuated: BTreeSet<DomainId>,
-        unheard: Ms,
+        rejoin_time: Ms,
     ) -> Self {
         let mut next = Self { evacuated, ..Self::default() };
         for target in targets {
             let entry = &target.entry;
-            let known = self.by_name.get(&entry.id).filter(|l| same_life(&l.entry, entry));
+            let known = self.by_name.get(&entry.id).filter(|l| same_incarnation(&l.entry, entry));
             let link =
-                known.cloned().unwrap_or_else(|| Arc::new(Link::new(now, entry.clone(), unheard)));
+                known.cloned().unwrap_or_else(|| Arc::new(Link::new(now, entry.clone(), rejoin_time)));
             next.by_name.insert(entry.id.clone(), link.clone());
             match takes_work(entry) {
                 true if next.evacuated(&entry.domain) => {
-                    next.barred.insert(entry.service.clone());
+                    next.evacuated_services.insert(entry.service.clone());
                 }
                 true => next.by_service.entry(entry.service.clone()).or_default().push(link),
                 false => {}
@@ -211,32 +213,32 @@
         self.by_service.get(service).map_or(&[], Vec::as_slice)
     }
 
-    /// Whether the targets of a failure domain get nothing.
+    /// Whether a failure domain is evacuated: its targets get no requests.
     pub(crate) fn evacuated(&self, domain: &DomainId) -> bool {
         self.evacuated.contains(domain)
     }
 
     /// Whether a service has targets in evacuated failure domains.
-    pub(crate) fn barred(&self, service: &PoolId) -> bool {
-        self.barred.contains(service)
+    pub(crate) fn has_evacuated_targets(&self, service: &PoolId) -> bool {
+        self.evacuated_services.contains(service)
     }
 
-    /// A target by name, also one that is leaving.
+    /// A target by name, including one that is leaving.
     pub(crate) fn named(&self, id: &TargetId) -> Option<&Arc<Link>> {
         self.by_name.get(id)
     }
 
-    /// All targets.
+    /// All known targets.
     pub(crate) fn all(&self) -> impl Iterator<Item = &Arc<Link>> {
         self.by_name.values()
     }
 
-    /// How many take work.
+    /// Number of targets that take work.
     pub(crate) fn ready(&self) -> usize {
         self.by_service.values().map(Vec::len).sum()
     }
 }
 
-fn same_life(a: &Entry, b: &Entry) -> bool {
+fn same_incarnation(a: &Entry, b: &Entry) -> bool {
     a.born == b.born && a.addr == b.addr && a.service == b.service
 }
--- a/crates/edge/src/relay.rs
+++ b/crates/edge/src/relay.rs
@@ -1,4 +1,4 @@
-//! One caller's stream over all engines that run it.
+//! Relays a stream to its caller, across all engines that run the request in turn.
 
 mod forward;
 
@@ -10,7 +10,7 @@
 use std::sync::Arc;
 
 use crate::body::{Out, whole};
-use crate::choose::{Selection, choose, source};
+use crate::choose::{Selection, choose, copy_source};
 use crate::core::Core;
 use crate::events::EventStream;
 use crate::gate::Barrier;
@@ -23,70 +23,75 @@
 use crate::send::{Answered, Lease, SendFault, send};
 use crate::stages;
 
-/// Engines that are asked at most for one caller's attempt, those that did not run it included.
-const SENDS: usize = 4;
-/// Silence after which a stream that may be resumed goes on at another engine, ms. Pauses of sound
-/// engines stay under the 400 to 500 ms for which a stream is on time; three of these are none.
-const SILENCE: Ms = Ms(1_500);
-/// The same before its first event, beside the time to read the prompt: the engine may have to
-/// read long prompts of others first.
-const FIRST_SILENCE: Ms = Ms(2_500);
-/// Prompts that an engine reads for at least this long are told to other hosts, ms: a shorter one
-/// in the way is hardly noticed.
-const TOLD: Ms = Ms(20);
+/// Most engines that a request is sent to, including those that did not run it.
+const MAX_ENGINES: usize = 4;
+/// Silence after which a stream that may be resumed moves to another engine. Pauses of healthy
+/// engines stay under the 400 to 500 ms for which a stream counts as on time; three times that is
+/// no pause.
+const STREAM_TIMEOUT: Ms = Ms(1_500);
+/// The same before the first event, in addition to the time to read the prompt: the engine may have
+/// to read long prompts of other requests first.
+const FIRST_EVENT_TIMEOUT: Ms = Ms(2_500);
+/// Prompts that an engine reads for at least this long are reported to other hosts. A shorter one
+/// ahead of another prompt is hardly noticed.
+const REPORTED_READ_TIME: Ms = Ms(20);
 /// Largest refusal or error of a target that is read, bytes.
 const ERROR_BYTES: usize = 1 << 20;
 
-/// What came of the first send.
+/// Result of starting a stream.
 pub(crate) enum Started {
     /// An engine streams.
     Streams(hyper::http::response::Parts),
-    /// An engine answered otherwise.
+    /// An engine answered without a stream.
     Answer(Box<Response<Out>>),
-    /// No engine's answer.
+    /// There is no answer of an engine.
     Refused(Reason),
 }
 
-/// An engine's stream.
-struct Open {
+/// A stream that an engine is sending.
+struct OpenStream {
     link: Arc<Link>,
     lease: Lease,
     body: Incoming,
-    since: Ms,
-    first: bool,
-    /// Whether the engine had nothing else to read, as far as this host knows.
-    alone: bool,
+    sent_at: Ms,
+    /// Whether its first event is still to come.
+    awaits_first: bool,
+    /// Whether the engine had no other prompt to read, as far as this host knows.
+    was_idle: bool,
 }
 
-/// One caller's stream over all engines that run it.
+/// A caller's stream, across all engines that run it in turn.
 pub(crate) struct Relay {
     app: Arc<App>,
     core: Arc<Core>,
     call: Call,
     results: Results,
-    /// Lives of engines that have read the prompt's subject, the newest first.
+    /// Incarnations of engines that have read the prompt's subject, the newest first.
     readers: Vec<String>,
-    redone: bool,
+    /// Whether the stages were run a second time.
+    stages_rerun: bool,
     /// When the stages were done.
-    staged: Ms,
+    stages_done: Ms,
     /// When the caller got its first event.
-    first: Option<Ms>,
+    first_event: Option<Ms>,
+    /// Engines that were selected so far.
     tried: Vec<Arc<Link>>,
-    /// Engines that it was sent to, whatever came of it.
+    /// Number of sends, whatever their outcome.
     sends: u32,
+    /// Number of sends that an engine may have run.
     runs: u32,
     events: EventStream,
-    open: Option<Open>,
+    open: Option<OpenStream>,
 }
 
 impl Relay {
-    /// Nothing sent yet.
+    /// A relay that has sent nothing yet.
     pub(crate) fn new(app: Arc<App>, call: Call, results: Results, readers: Vec<String>) -> Self {
         let core = app.core.clone();
         Self {
-            staged: core.clock.now(),
-            first: None,
-            redone: false,
+            stages_done: core.clock.now(),
+            first_event: None,
+            stages_rerun: false,
             tried: Vec::new(),
             sends: 0,
             runs: 0,
@@ -105,7 +110,7 @@
         give_up(&self.core, &self.call, reason, self.tried.len(), self.runs)
     }
 
-    /// Finds an engine that runs it.
+    /// Sends the request to engines until one streams or answers.
     pub(crate) async fn start(&mut self) -> Started {
         loop {
             let now = self.core.clock.now();
@@ -121,11 +126,11 @@
                 }
                 Sent::Answer(response) => return Started::Answer(response),
                 Sent::NotRun => {}
-                Sent::Gone if self.redone => {
+                Sent::InputsGone if self.stages_rerun => {
                     return Started::Refused(Reason::Stages(stages::longest_call(&self.call)));
                 }
-                Sent::Gone => {
-                    if let Err(reason) = self.redo_stages().await {
+                Sent::InputsGone => {
+                    if let Err(reason) = self.rerun_stages().await {
                         return Started::Refused(reason);
                     }
                 }
@@ -144,9 +149,9 @@
         }
     }
 
-    /// Does the stages again, once: what they made is gone.
-    async fn redo_stages(&mut self) -> Result<(), Reason> {
-        self.redone = true;
+    /// Runs the stages again, at most once, because their results are gone.
+    async fn rerun_stages(&mut self) -> Result<(), Reason> {
+        self.stages_rerun = true;
         self.results = stages::run(&self.app, &self.call).await?;
         Ok(())
     }
@@ -155,13 +160,13 @@
         self.call.route.repeat.is_idempotent() && self.runs < self.call.route.attempts
     }
 
-    /// Tokens of an engine's memory.
-    fn memory(&self) -> u64 {
+    /// Number of tokens that an engine keeps of the prompts it has read.
+    fn engine_capacity(&self) -> u64 {
         let service = self.call.catalog.service(&self.call.service);
         service.and_then(|s| s.engine.as_ref()).map_or(0, |e| e.tokens)
     }
 
-    /// Time to copy what the prompt shares with others from another engine, ms.
+    /// Time to copy the part that the prompt shares with others from another engine.
     fn copy_time(&self) -> Ms {
         let service = self.call.catalog.service(&self.call.service);
         let engine = service.and_then(|s| s.engine.as_ref());
@@ -169,11 +174,11 @@
         Ms(copy as u64)
     }
 
-    /// One send to the best engine that wasn't tried.
+    /// Sends the request once, to the best engine that was not tried yet.
     async fn send(&mut self, left: Ms) -> Sent {
         let now = self.core.clock.now();
         let first = self.sends == 0;
-        if self.tried.len() >= SENDS
+        if self.tried.len() >= MAX_ENGINES
             || (!first && !self.core.budget().take(now, &self.call.service))
         {
             return Sent::Barred(Barrier::NoTarget);
@@ -181,8 +186,8 @@
         let subject = self.call.ask.subject();
         let home = self.results.home().unwrap_or(&self.core.settings().domain).clone();
         let (copy, readers) = (self.copy_time(), self.readers.as_slice());
-        let want = Selection::Engine { subject, copy, readers, home: &home };
-        let link = match choose(&self.core, &self.call, want, &self.tried) {
+        let selection = Selection::Engine { subject, copy, readers, home: &home };
+        let link = match choose(&self.core, &self.call, selection, &self.tried) {
             Ok(link) => link,
             Err(barrier) => return Sent::Barred(barrier),
         };
@@ -190,28 +195,28 @@
         let tokens = self.call.ask.own_tokens();
         let reading = self.core.estimate().first_event(&self.call.service, tokens);
         let time = self.core.estimate().reading(&self.call.service, tokens);
-        let alone = link.backlog().wait(now) == Ms::ZERO;
+        let was_idle = link.backlog().wait(now) == Ms::ZERO;
         link.backlog().sent(now, time);
-        if time >= TOLD {
+        if time >= REPORTED_READ_TIME {
             self.core.members.sent(&link.entry.domain, &link.incarnation(), time);
         }
         let wait = match self.call.route.repeat.is_idempotent() {
-            true if self.runs + 1 < self.call.route.attempts => left.min(FIRST_SILENCE + reading),
+            true if self.runs + 1 < self.call.route.attempts => left.min(FIRST_EVENT_TIMEOUT + reading),
             _ => left,
         };
         let (core, call) = (&self.core, &self.call);
         let (inputs, last) = (self.results.handles(), self.events.last());
-        let fetch = source(core, call, subject, &self.readers, &link).map(|l| l.entry.addr);
+        let fetch = copy_source(core, call, subject, &self.readers, &link).map(|l| l.entry.addr);
         let build = || {
-            self.results.free_soon();
+            self.results.free_after_read();
             call.onward(headers(core, call, &link, inputs, last, fetch))
         };
         let result = send(core, &link, &call.ask.id, wait, build).await;
         self.sends += u32::from(!matches!(result, Err(SendFault::Barred(_))));
         match result {
-            Ok(answered) => self.answered(link, now, alone, answered).await,
+            Ok(answered) => self.handle_answer(link, now, was_idle, answered).await,
             Err(fault) => {
-                self.lost(&link, fault);
+                self.record_failure(&link, fault);
                 match fault.unsent() {
                     true => Sent::NotRun,
                     false => {
@@ -223,11 +228,11 @@
         }
     }
 
-    async fn answered(
+    async fn handle_answer(
         &mut self,
         link: Arc<Link>,
-        since: Ms,
-        alone: bool,
+        sent_at: Ms,
+        was_idle: bool,
         answered: Answered,
     ) -> Sent {
         let Answered { head, parts, body, lease } = answered;
@@ -235,13 +240,13 @@
         if head.inputs_gone {
             note!(logs::Event::InputsGone, request = %self.call.ask.id, target = link.name());
             if self.tried.len() == 1 {
-                self.results.read_late();
+                self.results.inputs_read_late();
             }
             self.results.free();
-            // The engine is sound: it may be asked again.
+            // The engine itself is healthy: it may be tried again.
             self.tried.pop();
             lease.close();
-            return Sent::Gone;
+            return Sent::InputsGone;
         }
         if head.not_run {
             let outcome = if head.moved { Outcome::NoConnection } else { Outcome::Full };
@@ -251,11 +256,11 @@
         }
         self.runs += 1;
         if parts.status.is_success() && head.signed && !head.coded {
-            self.open = Some(Open { link, lease, body, since, first: true, alone });
+            self.open = Some(OpenStream { link, lease, body, sent_at, awaits_first: true, was_idle });
             return Sent::Streams(Box::new(parts));
         }
         if parts.status.is_success() {
-            self.lost(&link, SendFault::Mismatch);
+            self.record_failure(&link, SendFault::Mismatch);
             return Sent::Lost;
         }
         link.record(now, Outcome::Failed);
@@ -273,7 +278,8 @@
         Sent::Answer(Box::new(response))
     }
 
-    fn lost(&self, link: &Link, fault: SendFault) {
+    /// Logs and counts a failed send or a broken stream.
+    fn record_failure(&self, link: &Link, fault: SendFault) {
         note!(
             logs::Event::AttemptFailed,
             request = %self.call.ask.id,
@@ -289,29 +295,33 @@
     }
 }
 
-/// What came of one send.
+/// Result of one send.
 enum Sent {
+    /// The engine streams.
     Streams(Box<hyper::http::response::Parts>),
+    /// The engine answered without a stream.
     Answer(Box<Response<Out>>),
+    /// The engine did not run it.
     NotRun,
-    /// Not run: its inputs are gone.
-    Gone,
+    /// The engine did not run it because its inputs are gone.
+    InputsGone,
+    /// It failed, and the engine may have run it.
     Lost,
     /// No engine may get it.
     Barred(Barrier),
 }
 
 impl Drop for Relay {
-    /// A caller that leaves in the middle of its stream takes the relay with it.
+    /// Logs that the caller left in the middle of its stream, which drops the relay.
     fn drop(&mut self) {
-        let Some(open) = self.open.as_ref().filter(|_| self.first.is_some()) else { return };
+        let Some(open) = self.open.as_ref().filter(|_| self.first_event.is_some()) else { return };
         let now = self.core.clock.now();
         note!(
             logs::Event::StreamLeft,
             request = %self.call.ask.id,
             route = %self.call.route.name,
             target = open.link.name(),
-            first_ms = self.first.map(|at| (at - self.call.arrived).0),
+            first_ms = self.first_event.map(|at| (at - self.call.arrived).0),
             took_ms = (now - self.call.arrived).0,
             left_ms = self.call.left(now).0
         );
--- a/crates/edge/src/relay/forward.rs
+++ b/crates/edge/src/relay/forward.rs
@@ -1,4 +1,5 @@
-//! Passes an engine's events on, and goes on at another engine where one breaks.
+//! Forwards an engine's events to the caller, and resumes the stream at another engine if one
+//! fails.
 
 use base::Ms;
 use bytes::Bytes;
@@ -6,21 +7,21 @@
 use logs::note;
 use sched::health::Outcome;
 
-use super::{Relay, SILENCE, Sent};
+use super::{Relay, STREAM_TIMEOUT, Sent};
 use crate::body::Cut;
 use crate::events::Taken;
 use crate::send::SendFault;
 use crate::subjects;
 
 impl Relay {
-    /// The next events; none at the end.
+    /// The next events; none at the end of the stream.
     pub(crate) async fn next(&mut self) -> Option<Result<Bytes, Cut>> {
         loop {
             let Some(open) = &mut self.open else { return Some(Err(Cut)) };
             let now = self.core.clock.now();
             let left = self.call.deadline - now;
             let resumable = self.call.route.repeat.is_idempotent();
-            let wait = if resumable { left.min(SILENCE) } else { left };
+            let wait = if resumable { left.min(STREAM_TIMEOUT) } else { left };
             let frame = tokio::time::timeout(wait.duration(), open.body.frame()).await;
             let fault = match frame {
                 Ok(Some(Ok(frame))) => {
@@ -28,7 +29,7 @@
                     match self.events.take(data) {
                         Taken::Events(events) if events.is_empty() => continue,
                         Taken::Events(events) => {
-                            self.first_event();
+                            self.record_first_event();
                             return Some(Ok(events));
                         }
                         Taken::Broken => SendFault::Mismatch,
@@ -48,35 +49,36 @@
         }
     }
 
-    pub(super) fn first_event(&mut self) {
-        let memory = self.memory();
-        let Some(open) = self.open.as_mut().filter(|o| o.first) else { return };
-        open.first = false;
+    pub(super) fn record_first_event(&mut self) {
+        let capacity = self.engine_capacity();
+        let Some(open) = self.open.as_mut().filter(|o| o.awaits_first) else { return };
+        open.awaits_first = false;
         let now = self.core.clock.now();
-        let took = now - open.since;
+        let took = now - open.sent_at;
         open.link.record(now, Outcome::Good(took));
         let ask = &self.call.ask;
-        open.link.subjects().record(ask.subject(), ask.shared_tokens(), memory);
+        open.link.subjects().record(ask.subject(), ask.shared_tokens(), capacity);
         subjects::report_reader(&self.core, &self.call, &open.link);
-        if open.alone {
+        if open.was_idle {
             let tokens = self.call.ask.own_tokens();
             self.core.estimate().record_first(&self.call.service, tokens, took);
         }
-        if self.first.is_some() {
-            // A run that goes on: the caller has had its first event.
+        if self.first_event.is_some() {
+            // A resumed stream: the caller already has its first event.
             return;
         }
-        self.first = Some(now);
+        self.first_event = Some(now);
         let route = &self.call.route;
         self.core.metrics.answered(&route.name, now - self.call.arrived, route.aim);
     }
 
+    /// Records the end of a complete stream.
     pub(super) fn finish(&mut self) {
         let Some(open) = self.open.take() else { return };
         self.core.poison().clear(self.call.fingerprint);
         self.core.metrics.sent(&self.call.route.name, "good");
         let now = self.core.clock.now();
-        let late = self.first.unwrap_or(now) - self.call.arrived - self.call.route.aim;
+        let late = self.first_event.unwrap_or(now) - self.call.arrived - self.call.route.aim;
         if let Some(stands_for) = self.core.sample(late > Ms::ZERO) {
             note!(
                 logs::Event::RequestServed,
@@ -85,8 +87,8 @@
                 version = self.call.catalog.version,
                 target = open.link.name(),
                 runs = self.runs,
-                first_ms = self.first.map(|at| (at - self.call.arrived).0),
-                stages_ms = (self.staged - self.call.arrived).0,
+                first_ms = self.first_event.map(|at| (at - self.call.arrived).0),
+                stages_ms = (self.stages_done - self.call.arrived).0,
                 took_ms = (now - self.call.arrived).0,
                 late_ms = late.0,
                 stands_for
@@ -95,21 +97,21 @@
         open.lease.close();
     }
 
-    /// Goes on at another engine after the last whole event.
+    /// Resumes the stream at another engine, after the last complete event.
     pub(super) async fn resume(&mut self, fault: SendFault) -> Result<(), Cut> {
-        // Dropping the connection first: the engine stops before another goes on.
+        // The connection is dropped first, so that this engine stops before another resumes.
         if let Some(open) = self.open.take() {
             let outcome = match fault {
                 SendFault::Silent => Outcome::Silent,
                 _ => Outcome::Broken,
             };
             open.link.record(self.core.clock.now(), outcome);
-            self.lost(&open.link, fault);
+            self.record_failure(&open.link, fault);
         }
         self.events.restart();
         while self.may_resume() {
-            // The next engine needs the results of its stages too.
-            if self.results.given_up() && (self.redone || self.redo_stages().await.is_err()) {
+            // The next engine needs the results of the stages too.
+            if self.results.released() && (self.stages_rerun || self.rerun_stages().await.is_err()) {
                 break;
             }
             let left = self.call.left(self.core.clock.now());
@@ -126,7 +128,7 @@
                     );
                     return Ok(());
                 }
-                Sent::NotRun | Sent::Lost | Sent::Gone => {}
+                Sent::NotRun | Sent::Lost | Sent::InputsGone => {}
                 Sent::Answer(_) | Sent::Barred(_) => break,
             }
         }
--- a/crates/edge/src/remote.rs
+++ b/crates/edge/src/remote.rs
@@ -1,4 +1,4 @@
-//! Stages made by another host.
+//! Hands stages to another host.
 
 use base::{HostId, Ms};
 use logs::note;
@@ -9,26 +9,27 @@
 
 use crate::core::Core;
 
-/// Wait for another host's word that the pieces are late, beyond their time, ms: the way there
-/// and back, and a tenth of a second in which its processor was taken away.
+/// How long to wait, after the pieces have expired, for another host's answer that they are late: a
+/// round trip, and 100 ms for which that host may have been denied the processor.
 const ANSWER_WAIT: Ms = Ms(200);
 
-/// Why another host made nothing.
+/// Why another host returned no results.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
-pub(crate) enum Missed {
-    /// It had all the time there was.
+pub(crate) enum RemoteFault {
+    /// The pieces expired while it had them.
     Late,
-    /// It can't be reached or doesn't live; it composes nothing for this host for a while.
+    /// It can't be reached or is not alive; for a while it is not asked to compose for this host.
     Lost,
 }
 
-/// Has another host make a stage, as long as it shows that it lives.
-pub(crate) async fn make(
+/// Submits a stage to another host and waits for the results while that host's liveness checks
+/// succeed.
+pub(crate) async fn submit(
     core: &Arc<Core>,
     host: &HostId,
     addr: SocketAddr,
     work: StageWork,
-) -> Result<StageResults, Missed> {
+) -> Result<StageResults, RemoteFault> {
     let within = Ms(work.expires_ms);
     let end = core.clock.now() + within;
     let peers = core.members.peers();
@@ -40,12 +41,12 @@
     };
     match result {
         Ok(results) => Ok(results),
-        // Nobody is to blame.
-        Err(PeerError::Silent) if core.clock.now() >= end => Err(Missed::Late),
+        // The time simply ran out: the host is not suspected.
+        Err(PeerError::Silent) if core.clock.now() >= end => Err(RemoteFault::Late),
         Err(err) => {
             note!(logs::Event::PeerFailed, request, host = %host, call = "submit", why = %err);
             core.members.suspect(host);
-            Err(Missed::Lost)
+            Err(RemoteFault::Lost)
         }
     }
 }
--- a/crates/edge/src/results.rs
+++ b/crates/edge/src/results.rs
@@ -1,7 +1,8 @@
-//! Results of a request's stages, given up when nobody reads them any more.
+//! Results of a request's stages, and their release once nobody reads them any more.
 //!
-//! A stage target holds a handful of large results. One that is left to its time to live takes the
-//! place of a new one for seconds, and calls fail for want of room.
+//! A stage target has room for a handful of large results. A result that is left there until its
+//! time to live ends takes the place of a new one for seconds, and calls fail for lack of room. So
+//! hosts release results explicitly.
 
 use std::net::SocketAddr;
 use std::sync::{Arc, Mutex, MutexGuard, PoisonError};
@@ -13,24 +14,25 @@
 use crate::host::App;
 use crate::members::Owner;
 
-/// Time in which an engine reads its inputs, ms: the way there, and there and back to a target in
-/// another region, and the bytes.
+/// Time after a send within which an engine has read its inputs: the way to the engine, its round
+/// trip to a target in another region, and the transfer.
 const READ_TIME: Ms = Ms(100);
-/// See [`Results::free_soon`], ms.
-const CAUTION: Ms = Ms::secs(10);
+/// How long results are kept until the answer begins after some were released too early, see
+/// [`Results::free_after_read`].
+const KEEP_RESULTS_FOR: Ms = Ms::secs(10);
 
 /// Results of one stage.
 #[derive(Clone, Debug)]
 pub(crate) struct StageOutput {
     /// The service that made them.
     pub(crate) service: PoolId,
-    /// Who composed the calls.
+    /// The host that composed the calls.
     pub(crate) owner: Owner,
     /// In the order of the pieces.
     pub(crate) results: Vec<PieceResult>,
 }
 
-/// What a request holds at stage targets. Dropped, it is given up.
+/// The results that a request holds at stage targets. They are released on drop.
 pub(crate) struct Results {
     app: Arc<App>,
     handles: Vec<String>,
@@ -39,7 +41,7 @@
 }
 
 impl Results {
-    /// Nothing yet.
+    /// Holds no results yet.
     pub(crate) fn new(app: Arc<App>) -> Self {
         Self { app, handles: Vec::new(), home: None, held: Mutex::default() }
     }
@@ -54,12 +56,12 @@
         self.handles = handles;
     }
 
-    /// Sets the failure domain in which most of what the engine reads lies.
+    /// Sets the failure domain that holds most of what the engine reads.
     pub(crate) fn set_home(&mut self, home: Option<DomainId>) {
         self.home = home;
     }
 
-    /// The failure domain in which most of what the engine reads lies; none where that is little.
+    /// The failure domain that holds most of what the engine reads; none if that is little.
     pub(crate) fn home(&self) -> Option<&DomainId> {
         self.home.as_ref()
     }
@@ -69,17 +71,17 @@
         &self.handles
     }
 
-    /// Gives everything up a little later, when the engine that was just sent the handles has read
-    /// the results.
+    /// Releases everything after [`READ_TIME`], when the engine that was just sent the handles has
+    /// read the results.
     ///
-    /// An engine reads its inputs before the prompt, and answers only with its first token. Kept
-    /// until then, results of a burst of long prompts fill the stage targets, and calls shrink to
-    /// half: the stage loses a third of what it can do. Where an engine turns out to read later, it
-    /// says that its inputs are gone; the stages are done again, and for [`CAUTION`] results are
-    /// kept until the answer begins.
-    pub(crate) fn free_soon(&self) {
+    /// An engine reads its inputs before the prompt, but its answer begins only with the first
+    /// token. If results were kept until then, those of a burst of long prompts would fill the
+    /// stage targets and calls would shrink to half: the stage loses a third of its throughput. An
+    /// engine that reads later than expected answers that its inputs are gone; then the stages are
+    /// run again, and for [`KEEP_RESULTS_FOR`] results are kept until the answer begins.
+    pub(crate) fn free_after_read(&self) {
         let core = &self.app.core;
-        if core.clock.now() < core.cautious_until() {
+        if core.clock.now() < core.keep_results_until() {
             return;
         }
         let held = std::mem::take(&mut *lock(&self.held));
@@ -93,19 +95,19 @@
         });
     }
 
-    /// The first engine that got the handles says that its inputs are gone: engines read later
+    /// Records that the first engine that got the handles found its inputs gone: engines read later
     /// than expected.
-    pub(crate) fn read_late(&self) {
+    pub(crate) fn inputs_read_late(&self) {
         let core = &self.app.core;
-        core.be_cautious(core.clock.now() + CAUTION);
+        core.set_keep_results(core.clock.now() + KEEP_RESULTS_FOR);
     }
 
-    /// Whether the handles are of no use to another engine any more.
-    pub(crate) fn given_up(&self) -> bool {
+    /// Whether the results have been released, so that the handles are of no use to another engine.
+    pub(crate) fn released(&self) -> bool {
         !self.handles.is_empty() && lock(&self.held).is_empty()
     }
 
-    /// Gives up everything that is held.
+    /// Releases everything that is held.
     pub(crate) fn free(&self) {
         for output in std::mem::take(&mut *lock(&self.held)) {
             free(&self.app, output);
@@ -123,7 +125,7 @@
     mutex.lock().unwrap_or_else(PoisonError::into_inner)
 }
 
-/// Gives up one stage's results.
+/// Releases one stage's results.
 pub(crate) fn free(app: &Arc<App>, output: StageOutput) {
     let StageOutput { service, owner, results } = output;
     let free = StageFree { service: service.as_str().to_owned(), results, spare: false };
@@ -131,20 +133,20 @@
         Owner::Me => app.composer.free(free),
         Owner::Peer { addr, .. } => {
             let core = app.core.clone();
-            tokio::spawn(async move { tell(&core, addr, free).await });
+            tokio::spawn(async move { notify_owner(&core, addr, free).await });
         }
     }
 }
 
-/// Tells the host that composed the calls. Not heard, the results go when their time to live is
-/// over.
-pub(crate) async fn tell(core: &Core, addr: SocketAddr, free: StageFree) {
+/// Tells the host that composed the calls that results are released or read. If that fails, the
+/// targets drop them when their time to live ends.
+pub(crate) async fn notify_owner(core: &Core, addr: SocketAddr, free: StageFree) {
     if let Err(err) = core.members.peers().free(addr, free).await {
         logs::note!(logs::Event::PeerFailed, host = %addr, call = "free", why = %err);
     }
 }
 
-/// One stage's results, for whoever reads them last to give up.
+/// One stage's results as an order to release them, which goes with the work that reads them last.
 pub(crate) fn release(core: &Core, output: StageOutput) -> StageRelease {
     let StageOutput { service, owner, results } = output;
     let addr = match owner {
--- a/crates/edge/src/send.rs
+++ b/crates/edge/src/send.rs
@@ -1,4 +1,4 @@
-//! One send to one target.
+//! Sends one request to one target.
 
 use base::Ms;
 use bytes::Bytes;
@@ -13,14 +13,14 @@
 use crate::core::Core;
 use crate::dialect::AnswerHead;
 use crate::gate::{self, Barrier};
-use crate::links::{Link, OpenAt};
+use crate::links::{Link, OpenRequest};
 use crate::notices;
 
-/// How a send failed, by what is known of the request.
+/// How a send failed, by whether the target may have run the request.
 #[derive(Clone, Copy, Debug, PartialEq, Eq, Error)]
 pub(crate) enum SendFault {
-    /// The target may not get it now: nothing was sent.
-    #[error("the target may not get it now: {}", .0.name())]
+    /// This host may not send to the target now: nothing was sent.
+    #[error("the target may not get requests now: {}", .0.name())]
     Barred(Barrier),
     /// No connection: nothing was sent.
     #[error("no connection")]
@@ -28,16 +28,16 @@
     /// The connection broke; the target may have run it.
     #[error("the connection broke")]
     Broken,
-    /// No answer yet; the connection is closed and the target may have run it.
-    #[error("no answer")]
+    /// No answer in time; the connection is closed and the target may have run it.
+    #[error("no answer in time")]
     Silent,
-    /// What came belongs to another request; the target may have run it.
-    #[error("the answer is another request's")]
+    /// The answer belongs to another request; the target may have run this one.
+    #[error("the answer belongs to another request")]
     Mismatch,
 }
 
 impl SendFault {
-    /// Whether the target surely did not get the request.
+    /// Whether it is certain that the target did not get the request.
     pub(crate) const fn unsent(self) -> bool {
         matches!(self, Self::NoConnection | Self::Barred(_))
     }
@@ -58,36 +58,37 @@
             Self::NoConnection => Some(Outcome::NoConnection),
             Self::Broken => Some(Outcome::Broken),
             Self::Silent => Some(Outcome::Silent),
-            // Another caller's late answer says nothing of how this one fares.
+            // A late answer to an earlier request says nothing about the target's health now.
             Self::Barred(_) | Self::Mismatch => None,
         }
     }
 }
 
-/// The connection that an answer comes on. Dropped, it is closed, and the target stops.
+/// The connection on which an answer arrives. If it is dropped before [`Lease::close`], the
+/// connection is closed and the target stops working on the request.
 pub(crate) struct Lease {
     link: Arc<Link>,
     conn: Conn,
     keep: Option<Ms>,
-    _open: OpenAt,
+    _open: OpenRequest,
 }
 
 impl Lease {
-    /// The answer was read whole and is sound: the connection may be used again.
+    /// Returns the connection to the pool, after the whole answer was read and is valid.
     pub(crate) fn close(self) {
         match self.keep {
-            // It is about to be closed by the target: a request on it would be lost.
-            Some(keep) if keep < LEAST_KEEP => {}
+            // The target is about to close it: a request on it would be lost.
+            Some(keep) if keep < MIN_KEEP_ALIVE => {}
             _ => self.link.pool.put(self.conn),
         }
     }
 }
 
-/// A connection that its target keeps for less than this isn't used again, ms: a request may wait
-/// that long for its turn on the way.
-const LEAST_KEEP: Ms = Ms(1_500);
+/// A connection that its target keeps open for less than this isn't reused: a request may be queued
+/// that long on its way to the target.
+const MIN_KEEP_ALIVE: Ms = Ms(1_500);
 
-/// A target's answer, its body still to come.
+/// A target's answer, whose body is still to be read.
 pub(crate) struct Answered {
     pub(crate) head: AnswerHead,
     pub(crate) parts: Parts,
@@ -95,8 +96,8 @@
     pub(crate) lease: Lease,
 }
 
-/// Sends a request and waits up to `wait` for the head of its answer. `build` is called when there
-/// is a connection, so that the time left is right.
+/// Sends a request and waits up to `wait` for the head of its answer. `build` is called once there
+/// is a connection, so that the remaining time that it writes into the request is right.
 pub(crate) async fn send(
     core: &Core,
     link: &Arc<Link>,
@@ -106,7 +107,7 @@
 ) -> Result<Answered, SendFault> {
     let result = attempt(core, link, id, wait, build).await;
     if matches!(result, Err(SendFault::Silent)) {
-        core.silent(link);
+        core.record_silence(link);
     }
     if let Some(outcome) = result.as_ref().err().and_then(|fault| fault.outcome()) {
         link.record(core.clock.now(), outcome);
--- a/crates/edge/src/stages.rs
+++ b/crates/edge/src/stages.rs
@@ -1,4 +1,5 @@
-//! The stages of one request: each handed in as soon as those that it reads are done.
+//! Runs the stages of one request. Each is submitted once the stages that it reads are done and it
+//! is due to start.
 
 mod outputs;
 mod place;
@@ -19,18 +20,18 @@
 use crate::results::{Results, StageOutput};
 use crate::submit::{StageFault, submit};
 
-/// Time between looks at a stage that is held back, ms.
-const LOOK: Ms = Ms(50);
-/// Times that a stage is done again because results that it read are gone.
-const REDONE: u32 = 1;
+/// Interval at which a stage that is held back is checked again.
+const RECHECK_INTERVAL: Ms = Ms(50);
+/// How often a request's stages may be run again because results that one of them read are gone.
+const MAX_RERUNS: u32 = 1;
 
-/// Does all stages. Gives their results; the request itself has not run.
+/// Runs all stages and returns their results. The request itself is not run here.
 pub(crate) async fn run(app: &Arc<App>, call: &Call) -> Result<Results, Reason> {
     let mut run = Run::new(app, call);
     let end = run.finish().await;
-    run.ended = true;
+    run.finished = true;
     match end {
-        Ok(()) => Ok(run.close()),
+        Ok(()) => Ok(run.into_results()),
         Err(_) if call.left(app.core.clock.now()) == Ms::ZERO => Err(Reason::NoTime),
         Err(StageFault::Outside) => Err(Reason::Outside),
         Err(StageFault::Late(wait)) => Err(Reason::Stages(wait.max(longest_call(call)))),
@@ -38,32 +39,34 @@
     }
 }
 
-/// Time of the longest full call among a request's stages, as declared: before that nothing changes
-/// at a target that is busy.
+/// Declared duration of the longest full call among a request's stages. A busy target can't take
+/// more work before such a call ends.
 pub(crate) fn longest_call(call: &Call) -> Ms {
     let batches = call.route.stages.iter().filter_map(|stage| batch(call, &stage.service));
     batches.map(Batch::full).max().unwrap_or_default()
 }
 
-type Working = BoxFuture<'static, (usize, Result<StageOutput, StageFault>)>;
+type Running = BoxFuture<'static, (usize, Result<StageOutput, StageFault>)>;
 
 struct Run<'a> {
     app: &'a Arc<App>,
     call: &'a Call,
-    /// Time that each stage takes, as far as is known.
+    /// Estimated duration of each stage.
     times: Vec<Ms>,
-    /// Time needed after each stage.
-    after: Vec<Ms>,
-    /// Handles by stage, once it is done.
+    /// Estimated time from the end of each stage to the first event.
+    remaining: Vec<Ms>,
+    /// Result handles of each stage, once it is done.
     done: Vec<Option<Arc<[String]>>>,
+    /// Results of each stage that are still to be released.
     held: Vec<Option<StageOutput>>,
-    begun: Vec<Option<Ms>>,
-    /// When each stage's results lapse where they lie.
-    lapse: Vec<Ms>,
-    working: FuturesUnordered<Working>,
-    redone: u32,
-    /// Whether it came to an end of its own.
-    ended: bool,
+    /// When each stage was submitted.
+    started: Vec<Option<Ms>>,
+    /// When the targets drop each stage's results.
+    results_expire: Vec<Ms>,
+    running: FuturesUnordered<Running>,
+    reruns: u32,
+    /// Whether it ran to its end, with or without success, instead of being dropped.
+    finished: bool,
 }
 
 impl<'a> Run<'a> {
@@ -73,31 +76,32 @@
             Some(batch) => app.core.estimate().stage(service, batch),
             None => Ms::ZERO,
         };
-        // The time of each stage is read first: the estimate is locked once at a time.
+        // The durations are read first: `after` below holds the lock of the estimate, so `of` can't
+        // take it.
         let times: Vec<Ms> = call.route.stages.iter().map(|s| time(&s.service)).collect();
         let of = |service: &PoolId| {
             let at = call.route.stages.iter().position(|s| s.service == *service);
             at.map_or(Ms::ZERO, |i| times[i])
         };
         let first = app.core.estimate().first_event(&call.service, call.ask.own_tokens());
-        let after = app.core.estimate().after(&call.route, first, of);
+        let remaining = app.core.estimate().after(&call.route, first, of);
         Self {
             app,
             call,
             times,
-            after,
+            remaining,
             done: vec![None; count],
             held: vec![None; count],
-            begun: vec![None; count],
-            lapse: vec![Ms::MAX; count],
-            working: FuturesUnordered::new(),
-            redone: 0,
-            ended: false,
+            started: vec![None; count],
+            results_expire: vec![Ms::MAX; count],
+            running: FuturesUnordered::new(),
+            reruns: 0,
+            finished: false,
         }
     }
 
-    /// What the engine gets.
-    fn close(mut self) -> Results {
+    /// Turns a finished run into the results that the engine gets.
+    fn into_results(mut self) -> Results {
         if let Some(expected) = self.expected() {
             let took = self.app.core.clock.now() - self.call.arrived;
             self.app.core.metrics.predicted(ALL_STAGES, expected, took);
@@ -111,38 +115,40 @@
         results
     }
 
-    /// Time that all stages were expected to take when the request came; none without stages.
+    /// Time that all stages together were expected to take when the request arrived; none without
+    /// stages.
     fn expected(&self) -> Option<Ms> {
         let engine =
             self.app.core.estimate().first_event(&self.call.service, self.call.ask.own_tokens());
         let pieces = |i: &usize| self.call.ask.pieces.get(*i).is_none_or(|p| *p > 0);
         let made = (0..self.times.len()).filter(pieces);
-        made.map(|i| self.times[i] + self.after[i] - engine).max()
+        made.map(|i| self.times[i] + self.remaining[i] - engine).max()
     }
 
+    /// Runs the stages until all are done or one has failed.
     async fn finish(&mut self) -> Result<(), StageFault> {
         loop {
-            let held_back = self.begin();
+            let held_back = self.start_ready();
             let next = match held_back {
-                false => self.working.next().await,
-                true => match tokio::time::timeout(LOOK.duration(), self.working.next()).await {
+                false => self.running.next().await,
+                true => match tokio::time::timeout(RECHECK_INTERVAL.duration(), self.running.next()).await {
                     Ok(next) => next,
                     Err(_) => continue,
                 },
             };
             let Some((i, ended)) = next else { return Ok(()) };
-            self.note(i, ended.as_ref().err().copied());
+            self.log_end(i, ended.as_ref().err().copied());
             match ended {
-                Ok(output) => self.ended(i, output),
-                Err(StageFault::Gone) if self.redone < REDONE => self.redo(i),
+                Ok(output) => self.stage_done(i, output),
+                Err(StageFault::Gone) if self.reruns < MAX_RERUNS => self.rerun(i),
                 Err(fault) => return Err(fault),
             }
         }
     }
 
-    fn note(&self, i: usize, fault: Option<StageFault>) {
+    fn log_end(&self, i: usize, fault: Option<StageFault>) {
         let now = self.app.core.clock.now();
-        let due = self.call.arrived + self.call.route.aim - self.after[i];
+        let due = self.call.arrived + self.call.route.aim - self.remaining[i];
         let wait = match fault {
             Some(StageFault::Late(wait)) => Some(wait.0),
             _ => None,
@@ -158,21 +164,21 @@
             service = %self.call.route.stages[i].service,
             pieces = self.call.ask.pieces.get(i).copied().unwrap_or(1),
             fault = fault.map_or("none", StageFault::name),
-            took_ms = self.begun[i].map(|begun| (now - begun).0),
+            took_ms = self.started[i].map(|start| (now - start).0),
             late_ms = (now - due).0,
             left_ms = self.call.left(now).0,
             wait_ms = wait
         );
     }
 
-    fn note_withdrawn(&self) {
+    fn log_withdrawn(&self) {
         let now = self.app.core.clock.now();
-        let open = |i: &usize| self.done[*i].is_none() && self.begun[*i].is_some();
+        let open = |i: &usize| self.done[*i].is_none() && self.started[*i].is_some();
         let open: Vec<usize> = (0..self.done.len()).filter(open).collect();
         let stages = &self.call.route.stages;
         let names: Vec<String> =
             open.iter().map(|i| format!("{i}:{}", stages[*i].service)).collect();
-        let since = open.iter().filter_map(|i| self.begun[*i]).min();
+        let since = open.iter().filter_map(|i| self.started[*i]).min();
         note!(
             logs::Event::StagesWithdrawn,
             request = %self.call.ask.id,
@@ -183,41 +189,41 @@
         );
     }
 
-    /// Hands in every stage whose inputs are there and whose time has come. Says whether one is
+    /// Submits every stage whose inputs are ready and that is due to start. Returns whether one is
     /// held back.
-    fn begin(&mut self) -> bool {
+    fn start_ready(&mut self) -> bool {
         let mut held_back = false;
         for i in 0..self.done.len() {
             let stage = &self.call.route.stages[i];
             let ready = stage.after.iter().all(|a| self.done[*a].is_some());
-            if self.done[i].is_some() || self.begun[i].is_some() || !ready {
+            if self.done[i].is_some() || self.started[i].is_some() || !ready {
                 continue;
             }
             let pieces = self.call.ask.pieces.get(i).copied().unwrap_or(1);
             if pieces == 0 {
                 self.done[i] = Some(Arc::from([]));
                 // A stage that reads this one may be ready now.
-                return self.begin();
+                return self.start_ready();
             }
-            if !self.due_now(i) {
+            if !self.is_due(i) {
                 held_back = true;
                 continue;
             }
-            self.begun[i] = Some(self.app.core.clock.now());
+            self.started[i] = Some(self.app.core.clock.now());
             let domain = self.domain(i);
             let Some(region) = self.region(i, &domain) else {
-                self.working.push(Box::pin(async move { (i, Err(StageFault::Outside)) }));
+                self.running.push(Box::pin(async move { (i, Err(StageFault::Outside)) }));
                 continue;
             };
             let mut work = self.work(i, pieces);
-            // Where it may not be, there is no domain that it should be in.
+            // The preferred domain is dropped if the request may not be in that domain's region.
             if self.app.core.settings().region_of(&domain) == Some(&region) {
                 work.home = domain.as_str().to_owned();
             }
-            work.release = self.release(i);
+            work.release = self.take_releases(i);
             let app = self.app.clone();
             let service = stage.service.clone();
-            self.working
+            self.running
                 .push(Box::pin(async move { (i, submit(&app, &service, &region, work).await) }));
         }
         held_back
@@ -226,12 +232,12 @@
     fn work(&self, i: usize, pieces: u32) -> StageWork {
         let stage = &self.call.route.stages[i];
         let now = self.app.core.clock.now();
-        let due = self.call.arrived + self.call.route.aim - self.after[i];
+        let due = self.call.arrived + self.call.route.aim - self.remaining[i];
         let patience = self.call.route.patience.map_or(Ms::MAX, |p| self.call.arrived + p);
-        // The stages after it need at least their bare time.
-        let expires = self.call.deadline.min(patience) - self.after[i].scale(1, 2);
-        // A call that begins after its inputs have lapsed makes nothing.
-        let expires = expires.min(self.inputs_lapse(i));
+        // Keeps the minimum time of the stages after it: an estimate is at most twice the minimum.
+        let expires = self.call.deadline.min(patience) - self.remaining[i].scale(1, 2);
+        // A call that begins after its inputs have expired can't succeed.
+        let expires = expires.min(self.inputs_expire(i));
         let inputs = stage.after.iter().filter_map(|a| self.done[*a].as_ref());
         StageWork {
             service: stage.service.as_str().to_owned(),
@@ -254,12 +260,12 @@
 }
 
 impl Drop for Run<'_> {
-    /// A request that failed, or whose caller has gone, holds nothing any more.
+    /// Releases all results of a request that failed or whose caller has left.
     fn drop(&mut self) {
-        if !self.ended {
-            self.note_withdrawn();
+        if !self.finished {
+            self.log_withdrawn();
         }
-        (0..self.held.len()).for_each(|i| self.give_up(i));
+        (0..self.held.len()).for_each(|i| self.free_results(i));
     }
 }
 
--- a/crates/edge/src/stages/outputs.rs
+++ b/crates/edge/src/stages/outputs.rs
@@ -1,4 +1,4 @@
-//! Results of a request's stages, from their making until nobody reads them any more.
+//! Tracks the results of a request's stages from their creation until nobody reads them any more.
 
 use base::Ms;
 use logs::note;
@@ -8,8 +8,8 @@
 use crate::results::{self, StageOutput, free};
 
 impl Run<'_> {
-    /// What only this stage reads, for its composer to give up.
-    pub(super) fn release(&mut self, i: usize) -> Vec<StageRelease> {
+    /// Takes the results that only this stage reads, for the composer of this stage to release.
+    pub(super) fn take_releases(&mut self, i: usize) -> Vec<StageRelease> {
         let stages = &self.call.route.stages;
         let only = |a: &usize| stages.iter().filter(|s| s.after.contains(a)).count() == 1;
         let mine: Vec<usize> = stages[i].after.iter().copied().filter(only).collect();
@@ -27,61 +27,65 @@
         stages[i].after.iter().map(size).sum()
     }
 
-    /// When the first of a stage's inputs lapses.
-    pub(super) fn inputs_lapse(&self, i: usize) -> Ms {
+    /// When the first of a stage's inputs expires.
+    pub(super) fn inputs_expire(&self, i: usize) -> Ms {
         let after = &self.call.route.stages[i].after;
-        after.iter().map(|a| self.lapse[*a]).min().unwrap_or(Ms::MAX)
+        after.iter().map(|a| self.results_expire[*a]).min().unwrap_or(Ms::MAX)
     }
 
-    pub(super) fn ended(&mut self, i: usize, output: StageOutput) {
+    /// Records the results of a stage that is done.
+    pub(super) fn stage_done(&mut self, i: usize, output: StageOutput) {
         let now = self.app.core.clock.now();
         if let Some(batch) = batch(self.call, &self.call.route.stages[i].service) {
-            // Its first piece may have been made some calls before its last.
-            let made = self.begun[i].unwrap_or(now).max(now - self.times[i]);
-            self.lapse[i] = made + batch.keep;
+            // The first piece may have been made several calls before the last one.
+            let made = self.started[i].unwrap_or(now).max(now - self.times[i]);
+            self.results_expire[i] = made + batch.keep;
         }
         let service = &self.call.route.stages[i].service;
-        if let Some(begun) = self.begun[i] {
-            self.app.core.estimate().record(service, now - begun);
-            self.app.core.metrics.stage(service.as_str(), now - begun);
-            self.app.core.metrics.predicted(service.as_str(), self.times[i], now - begun);
+        if let Some(start) = self.started[i] {
+            self.app.core.estimate().record(service, now - start);
+            self.app.core.metrics.stage(service.as_str(), now - start);
+            self.app.core.metrics.predicted(service.as_str(), self.times[i], now - start);
         }
         self.done[i] = Some(output.results.iter().map(|r| r.handle.clone()).collect());
         self.held[i] = Some(output);
-        // Stages that no one reads any more are given up at once.
+        // Results that no stage reads any more are released at once.
         for before in self.call.route.stages[i].after.clone() {
             if self.readers_done(before) {
-                self.give_up(before);
+                self.free_results(before);
             }
         }
     }
 
+    /// Whether all stages that read this one are done.
     pub(super) fn readers_done(&self, stage: usize) -> bool {
         let mut stages = self.call.route.stages.iter().zip(&self.done);
         stages.all(|(s, done)| done.is_some() || !s.after.contains(&stage))
     }
 
-    pub(super) fn give_up(&mut self, stage: usize) {
+    /// Releases a stage's results, if they are still held.
+    pub(super) fn free_results(&mut self, stage: usize) {
         if let Some(output) = self.held[stage].take() {
             free(self.app, output);
         }
     }
 
-    /// What this stage read is gone: it and all that leads to it are done again. What its inputs
-    /// were made from was given up when they had read it.
-    pub(super) fn redo(&mut self, i: usize) {
-        self.redone += 1;
+    /// Runs a stage whose inputs are gone again, with all stages that lead to it: the results from
+    /// which the inputs were made were released once they had been read.
+    pub(super) fn rerun(&mut self, i: usize) {
+        self.reruns += 1;
         note!(logs::Event::StageRedone, request = %self.call.ask.id, stage = i);
-        self.begun[i] = None;
+        self.started[i] = None;
         for before in self.call.route.stages[i].after.clone() {
             self.reset(before);
         }
     }
 
+    /// Marks a stage, and all stages that lead to it, as not run.
     pub(super) fn reset(&mut self, i: usize) {
-        self.give_up(i);
+        self.free_results(i);
         self.done[i] = None;
-        self.begun[i] = None;
+        self.started[i] = None;
         for before in self.call.route.stages[i].after.clone() {
             self.reset(before);
         }
--- a/crates/edge/src/stages/place.rs
+++ b/crates/edge/src/stages/place.rs
@@ -1,63 +1,66 @@
-//! When and where a stage of a request is done.
+//! Decides when and where a stage of a request is run.
 
 use base::{DomainId, Ms, RegionId};
 
 use super::Run;
 use crate::results::StageOutput;
 
-/// How early a stage beside a longer chain begins, as a multiple of its expected time: late, it
-/// would hold the whole request up.
-const EARLY: (u64, u64) = (3, 2);
-/// Size from which results should not cross regions, bytes: what crosses is paid by volume, and a
-/// request's stage elsewhere costs its host the way there and back.
-const LARGE: u64 = 100_000;
+/// How early a stage that runs beside a longer chain of stages starts, as a multiple of its
+/// estimated duration: if it ended late, it would delay the whole request.
+const START_AHEAD: (u64, u64) = (3, 2);
+/// Size from which results should not cross regions, bytes: traffic between regions is paid by
+/// volume. Below it, running a stage elsewhere is not worth the round trip for the request's host.
+const LARGE_BYTES: u64 = 100_000;
 
 impl Run<'_> {
-    /// Whether a stage should begin, so that its results are there about when the others are.
+    /// Whether a stage should start now, so that its results are ready at about the same time as
+    /// those of the others.
     ///
-    /// A stage beside a longer chain that begins with it has its results lie at their targets for
-    /// as long as the chain takes. Targets have room for a handful, and calls shrink to what is
-    /// left of it: the stage's targets lose half of what they can do.
-    pub(super) fn due_now(&self, i: usize) -> bool {
+    /// If a stage started together with a longer chain of stages beside it, its results would stay
+    /// at their targets until the chain is done. Targets have room for a handful of results, and
+    /// calls shrink to the room that is left: the stage's targets would lose half of their
+    /// throughput.
+    pub(super) fn is_due(&self, i: usize) -> bool {
         let now = self.app.core.clock.now();
-        let left = |j: usize| match (self.done[j].is_some(), self.begun[j]) {
+        let left = |j: usize| match (self.done[j].is_some(), self.started[j]) {
             (true, _) => Ms::ZERO,
-            (false, None) => self.times[j] + self.after[j],
-            (false, Some(begun)) => self.times[j] - (now - begun) + self.after[j],
+            (false, None) => self.times[j] + self.remaining[j],
+            (false, Some(start)) => self.times[j] - (now - start) + self.remaining[j],
         };
         let others = (0..self.done.len()).filter(|j| *j != i && !self.leads_to(i, *j));
         let longest = others.map(left).max().unwrap_or(Ms::ZERO);
-        longest <= self.times[i].scale(EARLY.0, EARLY.1) + self.after[i]
+        longest <= self.times[i].scale(START_AHEAD.0, START_AHEAD.1) + self.remaining[i]
     }
 
-    /// Whether stage `to` reads results of `from`, directly or not.
+    /// Whether stage `to` reads results of `from`, directly or through other stages.
     pub(super) fn leads_to(&self, from: usize, to: usize) -> bool {
         let after = &self.call.route.stages[to].after;
         after.iter().any(|a| *a == from || self.leads_to(from, *a))
     }
 
-    /// Where a stage should be done: where what it reads lies, if that is much, else here, where
-    /// the engine reads its results. A stage that was passed on to another region would have its
-    /// results cross back otherwise.
+    /// The failure domain in which a stage should run: the one that holds its inputs if these are
+    /// large, else this host's, where the engine reads its results. Without this, the results of a
+    /// stage that was passed on to another region would have to cross back.
     pub(super) fn domain(&self, i: usize) -> DomainId {
         let home = self.home(self.call.route.stages[i].after.iter().copied());
         home.unwrap_or_else(|| self.app.core.settings().domain.clone())
     }
 
-    /// The failure domain where the largest of these stages' results lie; none where that is little.
+    /// The failure domain that holds the largest results of these stages; none if they are all
+    /// small.
     pub(super) fn home(&self, stages: impl Iterator<Item = usize>) -> Option<DomainId> {
         let size = |(i, output): &(usize, &StageOutput)| {
             self.call.route.stages[*i].bytes * output.results.len() as u64
         };
         let held = stages.filter_map(|i| Some((i, self.held[i].as_ref()?)));
-        let (_, output) = held.filter(|held| size(held) >= LARGE).max_by_key(size)?;
+        let (_, output) = held.filter(|held| size(held) >= LARGE_BYTES).max_by_key(size)?;
         let links = self.app.core.links();
         let target = links.named(&output.results.first()?.target.as_str().into())?;
         Some(target.entry.domain.clone())
     }
 
-    /// The region whose composer makes a stage that should be done in `domain`: that domain's, or
-    /// one that the request may be in; none where no such region has a target.
+    /// The region whose composer gets a stage that should run in `domain`: the region of that
+    /// domain, or else one that the request may be in; none if no such region has a target.
     pub(super) fn region(&self, i: usize, domain: &DomainId) -> Option<RegionId> {
         let core = &self.app.core;
         let settings = core.settings();
@@ -69,7 +72,8 @@
         let links = core.links();
         let targets = links.of(&self.call.route.stages[i].service).iter();
         let regions = targets.filter_map(|l| settings.region_of(&l.entry.domain));
-        // All stages of a request are made in one region, so that results don't cross.
+        // All stages of a request run in the same region, so that results don't cross between
+        // regions.
         let key = self.call.ask.id.as_bytes();
         base::rendezvous(key, regions.filter(|r| residency.allows(r)), |r| r.as_str()).cloned()
     }
--- a/crates/edge/src/store_sync.rs
+++ b/crates/edge/src/store_sync.rs
@@ -67,8 +67,8 @@
     Ok(text.into())
 }
 
-/// Answers the query of a host that gets the store's data from this one: as soon as there is something
-/// that it lacks, or when its wait is over.
+/// Answers the query of a host that gets the store's data from this one: as soon as there is
+/// something that it lacks, or when its wait is over.
 pub(crate) async fn answer(core: &Arc<Core>, query: StoreQuery) -> StoreNews {
     let arrived = core.clock.now();
     let end = arrived + Ms(query.wait_ms).min(MAX_WAIT);
@@ -128,7 +128,8 @@
     })
 }
 
-/// Time from the sending of a read to the arrival of a query, ms; negative if the read was sent later.
+/// Time from the sending of a read to the arrival of a query, ms; negative if the read was sent
+/// later.
 fn age(arrived: Ms, proved: Ms) -> i64 {
     arrived.0 as i64 - proved.0 as i64
 }
@@ -153,8 +154,8 @@
 /// Applies another host's answer to a query sent at `sent`.
 ///
 /// The age of the proof that the answer tells is counted back from the moment before the query was
-/// sent. A delay on the way, or a pause of either host, can therefore only make the proof seem older
-/// than it is, never younger. The proof holds only for the configuration that came with it.
+/// sent. A delay on the way, or a pause of either host, can therefore only make the proof seem
+/// older than it is, never younger. The proof holds only for the configuration that came with it.
 pub(crate) fn apply(
     core: &Core,
     directory: &dyn Directory,
--- a/crates/edge/src/subjects.rs
+++ b/crates/edge/src/subjects.rs
@@ -1,4 +1,8 @@
-//! Which engines have read a prompt's subject: asked before it is sent, told when it was read.
+//! Looks up which engines have read a prompt's subject before the prompt is sent, and reports when
+//! an engine has read it.
+//!
+//! The subject is the last part of a prompt that other requests share. One host of the fleet keeps
+//! the list of its readers; see [`sched::directory`].
 
 use base::{HostId, Ms};
 use logs::note;
@@ -12,25 +16,25 @@
 use crate::members::Owner;
 use crate::request::Call;
 
-/// Longest wait for the answer once the stages are done, ms: the way there and back between
-/// regions, and some. Subjects that are read in less time aren't asked for.
+/// Longest wait for the answer once the stages are done: a round trip between regions, with some
+/// margin. Subjects that engines read in less time aren't looked up.
 const ANSWER_WAIT: Ms = Ms(60);
 
-/// The answer to come.
+/// The result of a look-up.
 pub(crate) enum Readers {
-    /// Nobody is asked: the subject is short, or this host keeps the list.
+    /// Known at once: the subject is too short to look up, or this host keeps its list.
     Known(Vec<String>),
-    /// Another host is.
-    Asked(JoinHandle<Vec<String>>),
+    /// Still to be answered by another host.
+    Pending(JoinHandle<Vec<String>>),
 }
 
 impl Readers {
-    /// Lives of engines that have read the subject, the newest first; none when the answer takes
-    /// too long.
+    /// Incarnations of engines that have read the subject, the newest first; none if the answer
+    /// takes too long.
     pub(crate) async fn get(self) -> Vec<String> {
         match self {
             Self::Known(readers) => readers,
-            Self::Asked(answer) => {
+            Self::Pending(answer) => {
                 let answer = tokio::time::timeout(ANSWER_WAIT.duration(), answer).await;
                 answer.ok().and_then(Result::ok).unwrap_or_default()
             }
@@ -38,28 +42,29 @@
     }
 }
 
-/// Whether reading what the prompt shares takes so long that asking pays.
-fn pays(core: &Core, call: &Call) -> bool {
+/// Whether an engine takes so long to read the shared part of the prompt that a look-up is worth
+/// its cost.
+fn worth_lookup(core: &Core, call: &Call) -> bool {
     let time = core.estimate().reading(&call.service, call.ask.shared_tokens());
     time > ANSWER_WAIT
 }
 
-/// Asks which engines have read the subject of a prompt.
+/// Starts looking up which engines have read the subject of a prompt.
 pub(crate) fn find_readers(core: &Arc<Core>, call: &Call) -> Readers {
-    if !pays(core, call) {
+    if !worth_lookup(core, call) {
         return Readers::Known(Vec::new());
     }
     let (service, subject) = (call.service.as_str(), call.ask.subject());
     match core.members.keeper(subject) {
         Some(Owner::Peer { host, addr }) => {
             let query = SubjectQuery { service: service.to_owned(), subject };
-            Readers::Asked(tokio::spawn(asked(core.clone(), host, addr, query)))
+            Readers::Pending(tokio::spawn(fetch_readers(core.clone(), host, addr, query)))
         }
         _ => Readers::Known(core.directory().readers(service, subject)),
     }
 }
 
-async fn asked(
+async fn fetch_readers(
     core: Arc<Core>,
     host: HostId,
     addr: SocketAddr,
@@ -67,7 +72,7 @@
 ) -> Vec<String> {
     match core.members.peers().readers(addr, query).await {
         Ok(readers) => readers.targets,
-        // The subject is read once more.
+        // Without the answer, at worst an engine reads the subject once more.
         Err(err) => {
             note!(logs::Event::PeerFailed, host = %host, call = "readers", why = %err);
             Vec::new()
@@ -75,9 +80,10 @@
     }
 }
 
-/// Tells the host that keeps the list that an engine has read the subject of a prompt.
+/// Reports that an engine has read the subject of a prompt, to the host that keeps the subject's
+/// list.
 pub(crate) fn report_reader(core: &Arc<Core>, call: &Call, link: &Link) {
-    if !pays(core, call) {
+    if !worth_lookup(core, call) {
         return;
     }
     let (service, subject) = (call.service.as_str(), call.ask.subject());
--- a/crates/edge/src/submit.rs
+++ b/crates/edge/src/submit.rs
@@ -1,4 +1,4 @@
-//! One stage, handed to whoever composes its service's calls.
+//! Submits a stage to the host that composes the calls of its service.
 
 use base::{HostId, Ms, PoolId, RegionId};
 use std::sync::Arc;
@@ -6,15 +6,15 @@
 
 use crate::host::App;
 use crate::members::Owner;
-use crate::remote::{self, Missed};
+use crate::remote::{self, RemoteFault};
 use crate::results::StageOutput;
 
 /// How a stage failed.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 pub(crate) enum StageFault {
-    /// What it read is gone.
+    /// Its inputs are gone.
     Gone,
-    /// Its time ran out, or would have. A piece handed in now would wait this long for a call.
+    /// It ended too late or would have. Holds how long a piece submitted now would wait for a call.
     Late(Ms),
     /// Its targets failed.
     Failed,
@@ -34,14 +34,15 @@
     }
 }
 
-/// Hosts that are asked in turn to compose the calls, before this host does.
+/// Number of hosts that are tried in turn as composer, before this host composes the calls itself.
 ///
 /// When the composer of a service dies, all hosts of its region notice at about the same time. If
-/// each then composed for itself, they would fill the targets' few places with calls of one request
-/// each and turn each other away; the next host that all of them name goes on filling calls.
-const COMPOSERS: usize = 2;
+/// each then composed for itself, calls with the pieces of one request each would occupy the
+/// targets' few call slots, and the targets would reject the calls of other hosts. So they try the
+/// next host first, on which they all agree and which goes on filling calls.
+const MAX_COMPOSERS: usize = 2;
 
-/// Hands a stage to whoever composes its service's calls.
+/// Submits a stage to the host that composes the calls of its service.
 pub(crate) async fn submit(
     app: &Arc<App>,
     service: &PoolId,
@@ -50,21 +51,21 @@
 ) -> Result<StageOutput, StageFault> {
     let core = &app.core;
     let settings = core.settings().clone();
-    for _ in 0..COMPOSERS {
+    for _ in 0..MAX_COMPOSERS {
         let owner = core.members.owner(&settings, service, region);
         let Some(Owner::Peer { host, addr }) = owner else { break };
         let begun = core.clock.now();
-        match remote::make(core, &host, addr, work.clone()).await {
+        match remote::submit(core, &host, addr, work.clone()).await {
             Ok(results) => return output(service, Owner::Peer { host, addr }, results),
-            Err(Missed::Late) => return Err(StageFault::Late(Ms::ZERO)),
-            Err(Missed::Lost) => {
-                let passed = core.clock.now() - begun;
-                work.due_ms = (Ms(work.due_ms) - passed).0;
-                work.expires_ms = (Ms(work.expires_ms) - passed).0;
+            Err(RemoteFault::Late) => return Err(StageFault::Late(Ms::ZERO)),
+            Err(RemoteFault::Lost) => {
+                let spent = core.clock.now() - begun;
+                work.due_ms = (Ms(work.due_ms) - spent).0;
+                work.expires_ms = (Ms(work.expires_ms) - spent).0;
             }
         }
     }
-    // Alone: calls are less full, and nothing is lost.
+    // No other composer: calls of this host alone are less full, but no work is lost.
     let results = app.composer.submit(work).await;
     output(service, Owner::Me, results)
 }
@@ -74,7 +75,7 @@
     owner: Owner,
     results: StageResults,
 ) -> Result<StageOutput, StageFault> {
-    // The host that was asked may have passed the stage on.
+    // The host that was asked may have passed the stage on to another.
     let owner = match results.owner.parse() {
         Ok(addr) => Owner::Peer { host: HostId::from(results.owner.as_str()), addr },
         Err(_) => owner,
