--- a/crates/edge/src/composer/submission.rs
+++ b/crates/edge/src/composer/submission.rs
@@ -109,8 +109,8 @@
     }
 }
 
-/// Records the end of a piece. Returns the results that nobody will read: those of a stage of which
-/// another piece failed.
+/// Records the end of a piece. If that ends a stage that failed, returns the results of its other
+/// pieces, which nobody will read.
 pub(super) fn piece_ended(
     state: &mut State,
     piece: PieceId,
--- a/crates/edge/src/core.rs
+++ b/crates/edge/src/core.rs
@@ -57,7 +57,7 @@
     sampler: Mutex<Sampler>,
     silences: Mutex<SilenceDetector>,
     stopping: AtomicBool,
-    /// Until when stage results are kept until an engine's answer begins, ms.
+    /// Up to this time, in ms, stage results are kept until the engine's answer begins.
     keep_results: AtomicU64,
     open: AtomicU64,
     draws: AtomicU64,
@@ -265,13 +265,14 @@
         current && self.knows_evacuations() && !self.stopping() && self.links().ready() > 0
     }
 
-    /// Until when stage results are kept until an engine's answer begins.
+    /// Up to this time stage results are kept until the engine's answer begins; after it, they are
+    /// released soon after the send.
     pub(crate) fn keep_results_until(&self) -> Ms {
         Ms(self.keep_results.load(Ordering::Relaxed))
     }
 
-    /// Keeps stage results until an engine's answer begins, up to `until`: some were released
-    /// before an engine had read them.
+    /// From now up to `until`, keeps stage results until the engine's answer begins: some were
+    /// released before an engine had read them.
     pub(crate) fn set_keep_results(&self, until: Ms) {
         self.keep_results.store(until.0, Ordering::Relaxed);
     }
--- a/crates/edge/src/directory.rs
+++ b/crates/edge/src/directory.rs
@@ -19,7 +19,7 @@
     Catalog,
     /// The targets' registrations.
     Targets,
-    /// Failure domains whose targets get no requests, one record of that name for each.
+    /// Failure domains whose targets get no requests: one record for each, named after it.
     Evacuations,
 }
 
@@ -100,7 +100,8 @@
     Malformed(String),
 }
 
-/// The platform's store of declarations, targets and evacuations. Reads are linearizable.
+/// The platform's store of declarations, targets and evacuations. Reads are linearizable:
+/// they are never stale.
 #[async_trait]
 pub trait Directory: Send + Sync {
     /// Reads one page of a kind, starting after a name.
