--- a/crates/edge/src/choose.rs
+++ b/crates/edge/src/choose.rs
@@ -86,7 +86,8 @@
     let usable: Vec<&Arc<Link>> = links.of(&call.service).iter().filter(|l| is_usable(l)).collect();
     let age = |l: &Link| readers.iter().position(|r| r == l.incarnation().as_str());
     let holders = usable.iter().filter(|l| has_read(l, subject, readers));
-    let nearest = holders.min_by_key(|l| (distance(core, &link.entry.domain, &l.entry.domain), age(l)));
+    let nearest =
+        holders.min_by_key(|l| (distance(core, &link.entry.domain, &l.entry.domain), age(l)));
     let by_hash = || base::rendezvous(&subject.to_le_bytes(), usable.iter(), |l| l.name());
     let found = nearest.or_else(by_hash).map(|l| Arc::clone(l));
     found.filter(|l| l.entry.id != link.entry.id)
@@ -101,7 +102,9 @@
     let settings = core.settings();
     let (home, knows) = match selection {
         Selection::Plain { .. } => (&settings.domain, false),
-        Selection::Engine { subject, readers, home, .. } => (home, has_read(link, subject, readers)),
+        Selection::Engine { subject, readers, home, .. } => {
+            (home, has_read(link, subject, readers))
+        }
     };
     let health = link.health();
     Candidate {
--- a/crates/edge/src/composer/mod.rs
+++ b/crates/edge/src/composer/mod.rs
@@ -70,7 +70,12 @@
 impl Composer {
     /// A composer without any services.
     pub(crate) fn new(core: Arc<Core>) -> Self {
-        Self { core, services: Mutex::default(), next_piece: AtomicU64::new(1), region_loads: Mutex::default() }
+        Self {
+            core,
+            services: Mutex::default(),
+            next_piece: AtomicU64::new(1),
+            region_loads: Mutex::default(),
+        }
     }
 
     /// Produces all pieces of a stage. If the future is dropped, the pieces are withdrawn.
--- a/crates/edge/src/composer/offload.rs
+++ b/crates/edge/src/composer/offload.rs
@@ -56,7 +56,9 @@
             // target will do.
             (None, None) => self.region_with_target(service, &work.request, &residency)?,
         };
-        if let Some((_, wait)) = lock(&self.region_loads).get_mut(&(service.clone(), region.clone())) {
+        if let Some((_, wait)) =
+            lock(&self.region_loads).get_mut(&(service.clone(), region.clone()))
+        {
             // The polled load doesn't include the work that is passed on now.
             *wait += Ms((shape.call_ms * f64::from(work.pieces) / shape.size as f64) as u64);
         }
@@ -124,7 +126,11 @@
                 for region in &regions {
                     let owner = self.core.members.owner(&settings, name, region);
                     if let Some(Owner::Peer { addr, .. }) = owner {
-                        tokio::spawn(self.clone().fetch_load(name.clone(), (*region).clone(), addr));
+                        tokio::spawn(self.clone().fetch_load(
+                            name.clone(),
+                            (*region).clone(),
+                            addr,
+                        ));
                     }
                 }
             }
--- a/crates/edge/src/composer/release.rs
+++ b/crates/edge/src/composer/release.rs
@@ -74,7 +74,8 @@
         if let Some(link) = link.filter(|l| !l.limit().is_named()) {
             let build = || self.core.dialect.stage_free(link.name(), &handles);
             // If the call fails, the target drops the results when their time to live ends.
-            if let Ok(answered) = send(&self.core, &link, NO_REQUEST_ID, FREE_TIMEOUT, build).await {
+            if let Ok(answered) = send(&self.core, &link, NO_REQUEST_ID, FREE_TIMEOUT, build).await
+            {
                 let read = link::read(answered.body, MAX_ANSWER_BYTES);
                 if let Ok(Ok(_)) = tokio::time::timeout(FREE_TIMEOUT.duration(), read).await {
                     answered.lease.close();
--- a/crates/edge/src/core/store_view.rs
+++ b/crates/edge/src/core/store_view.rs
@@ -124,7 +124,9 @@
     /// answers this host.
     pub(crate) fn proof_overdue(&self) -> bool {
         let bounds = &self.settings().bounds;
-        if let Some(most) = bounds.evacuate_ms.map(|bound| bound.scale(OVERDUE_EVACUATION_PERCENT, 100)) {
+        if let Some(most) =
+            bounds.evacuate_ms.map(|bound| bound.scale(OVERDUE_EVACUATION_PERCENT, 100))
+        {
             let proved = self.gate.evacuations().proved();
             if proved.is_none_or(|at| self.clock.now() - at > most) {
                 return true;
@@ -168,7 +170,12 @@
     }
 
     /// Applies a list of all targets. `names` includes those of entries that can't be read.
-    pub(crate) fn apply_target_list(&self, revision: u64, entries: Vec<Entry>, names: Vec<TargetId>) {
+    pub(crate) fn apply_target_list(
+        &self,
+        revision: u64,
+        entries: Vec<Entry>,
+        names: Vec<TargetId>,
+    ) {
         let now = self.clock.now();
         let mut view = lock(&self.store);
         let updates = view.registry.differs(&entries, &names);
@@ -248,7 +255,8 @@
         let evacuated = self.gate.evacuations().domains().clone();
         let rejoin_time = self.settings().bounds.heartbeat_ms.scale(UNHEARD, 1);
         let works = |entry: &Entry| view.registry.takes_work(entry);
-        let next = self.links.load().renew(self.clock.now(), targets, works, evacuated, rejoin_time);
+        let next =
+            self.links.load().renew(self.clock.now(), targets, works, evacuated, rejoin_time);
         self.links.store(Arc::new(next));
         self.changed.send_replace(());
     }
--- a/crates/edge/src/links.rs
+++ b/crates/edge/src/links.rs
@@ -59,7 +59,8 @@
     fn new(now: Ms, entry: Entry, rejoin_time: Ms) -> Self {
         let mut warmth = Warmth::default();
         warmth.cold_until(now + entry.warmup);
-        let config = PoolConfig { connect_ms: CONNECT_TIMEOUT, idle: MAX_IDLE, idle_ms: IDLE_TIMEOUT };
+        let config =
+            PoolConfig { connect_ms: CONNECT_TIMEOUT, idle: MAX_IDLE, idle_ms: IDLE_TIMEOUT };
         Self {
             pool: Pool::new(entry.addr, config),
             entry,
@@ -191,8 +192,9 @@
         for target in targets {
             let entry = &target.entry;
             let known = self.by_name.get(&entry.id).filter(|l| same_incarnation(&l.entry, entry));
-            let link =
-                known.cloned().unwrap_or_else(|| Arc::new(Link::new(now, entry.clone(), rejoin_time)));
+            let link = known
+                .cloned()
+                .unwrap_or_else(|| Arc::new(Link::new(now, entry.clone(), rejoin_time)));
             next.by_name.insert(entry.id.clone(), link.clone());
             match takes_work(entry) {
                 true if next.evacuated(&entry.domain) => {
--- a/crates/edge/src/relay.rs
+++ b/crates/edge/src/relay.rs
@@ -201,7 +201,9 @@
             self.core.members.sent(&link.entry.domain, &link.incarnation(), time);
         }
         let wait = match self.call.route.repeat.is_idempotent() {
-            true if self.runs + 1 < self.call.route.attempts => left.min(FIRST_EVENT_TIMEOUT + reading),
+            true if self.runs + 1 < self.call.route.attempts => {
+                left.min(FIRST_EVENT_TIMEOUT + reading)
+            }
             _ => left,
         };
         let (core, call) = (&self.core, &self.call);
@@ -256,7 +258,8 @@
         }
         self.runs += 1;
         if parts.status.is_success() && head.signed && !head.coded {
-            self.open = Some(OpenStream { link, lease, body, sent_at, awaits_first: true, was_idle });
+            self.open =
+                Some(OpenStream { link, lease, body, sent_at, awaits_first: true, was_idle });
             return Sent::Streams(Box::new(parts));
         }
         if parts.status.is_success() {
--- a/crates/edge/src/relay/forward.rs
+++ b/crates/edge/src/relay/forward.rs
@@ -111,7 +111,8 @@
         self.events.restart();
         while self.may_resume() {
             // The next engine needs the results of the stages too.
-            if self.results.released() && (self.stages_rerun || self.rerun_stages().await.is_err()) {
+            if self.results.released() && (self.stages_rerun || self.rerun_stages().await.is_err())
+            {
                 break;
             }
             let left = self.call.left(self.core.clock.now());
--- a/crates/edge/src/stages.rs
+++ b/crates/edge/src/stages.rs
@@ -131,10 +131,14 @@
             let held_back = self.start_ready();
             let next = match held_back {
                 false => self.running.next().await,
-                true => match tokio::time::timeout(RECHECK_INTERVAL.duration(), self.running.next()).await {
-                    Ok(next) => next,
-                    Err(_) => continue,
-                },
+                true => {
+                    match tokio::time::timeout(RECHECK_INTERVAL.duration(), self.running.next())
+                        .await
+                    {
+                        Ok(next) => next,
+                        Err(_) => continue,
+                    }
+                }
             };
             let Some((i, ended)) = next else { return Ok(()) };
             self.log_end(i, ended.as_ref().err().copied());
