--- a/crates/edge/src/evacuate.rs
+++ b/crates/edge/src/evacuate.rs
@@ -19,7 +19,7 @@
 /// Keeps the evacuated domains current. Does nothing where there are none to be expected.
 pub(crate) async fn follow(core: Arc<Core>, directory: Arc<dyn Directory>) {
     let mut pause = Pause::default();
-    let mut reading = core.reading();
+    let mut reading = core.store_reader();
     loop {
         // The sender lives in `core`, so the wait can't fail.
         let _ = reading.wait_for(|reads| *reads).await;
@@ -57,7 +57,7 @@
     let sent = core.clock.now();
     let (records, revision) = list(core, directory, Kind::Evacuations).await?;
     let domains = records.into_iter().filter_map(domain).collect();
-    core.take_evacuations(|held| held.list(sent, revision.0, domains));
+    core.apply_evacuations(|held| held.list(sent, revision.0, domains));
     Ok(())
 }
 
--- a/crates/edge/src/follow.rs
+++ b/crates/edge/src/follow.rs
@@ -42,7 +42,7 @@
 /// Keeps the configuration current.
 pub(crate) async fn catalog(core: Arc<Core>, directory: Arc<dyn Directory>) {
     let mut pause = Pause::default();
-    let mut reading = core.reading();
+    let mut reading = core.store_reader();
     loop {
         // The sender lives in `core`, so the wait can't fail.
         let _ = reading.wait_for(|reads| *reads).await;
@@ -51,7 +51,7 @@
         match read_catalog(directory.as_ref()).await {
             Ok(found) => {
                 pause.good();
-                core.take_catalog(sent, found.as_ref());
+                core.apply_catalog(sent, found.as_ref());
                 let rest = read_every(&core) - (core.clock.now() - sent);
                 tokio::time::sleep(rest.duration()).await;
             }
@@ -99,7 +99,7 @@
     let sent = core.clock.now();
     core.metrics.store_call("read");
     let found = read_catalog(directory).await?;
-    core.take_catalog(sent, found.as_ref());
+    core.apply_catalog(sent, found.as_ref());
     evacuate::once(core, directory).await?;
     let Some(since) = core.revision() else { return Ok(()) };
     core.metrics.store_call("watch");
@@ -121,7 +121,7 @@
         Change::Removed(id) => Update::Removed(id),
         Change::Set(record) => update(record),
     });
-    core.take_updates(revision.0, updates.collect());
+    core.apply_target_updates(revision.0, updates.collect());
     Ok(changed)
 }
 
@@ -129,11 +129,11 @@
 pub(crate) async fn targets(core: Arc<Core>, directory: Arc<dyn Directory>) {
     let mut gap = Gap::default();
     let mut pause = Pause::default();
-    let mut reading = core.reading();
+    let mut reading = core.store_reader();
     loop {
         // The sender lives in `core`, so the waits can't fail.
         let _ = reading.wait_for(|reads| *reads).await;
-        let mut ended = core.reading();
+        let mut ended = core.store_reader();
         let result = tokio::select! {
             result = follow(&core, directory.as_ref(), &mut pause, &mut gap) => result,
             _ = ended.wait_for(|reads| !*reads) => Ok(()),
@@ -162,7 +162,7 @@
 
     fn failed(&mut self, err: &DirectoryError) {
         match err {
-            DirectoryError::Forgotten => self.forgotten = true,
+            DirectoryError::Compacted => self.forgotten = true,
             DirectoryError::Busy(_) | DirectoryError::Down | DirectoryError::Malformed(_) => {
                 self.lapsed = true;
             }
@@ -194,13 +194,13 @@
             let (records, revision) = list(core, directory, Kind::Targets).await?;
             pause.good();
             let lapse = gap.listed(core.clock.now());
-            lapse.into_iter().for_each(|until| core.lapsed(until));
+            lapse.into_iter().for_each(|until| core.keep_missing_until(until));
             let names = records.iter().map(|r| r.name.clone()).collect();
             let entries = records.into_iter().filter_map(|r| match update(r) {
                 Update::Set(entry) => Some(entry),
                 Update::Malformed(_) | Update::Removed(_) => None,
             });
-            core.take_list(revision.0, entries.collect(), names);
+            core.apply_target_list(revision.0, entries.collect(), names);
             list_at = core.clock.now() + LIST_EVERY;
             continue;
         };
--- a/crates/edge/src/notices.rs
+++ b/crates/edge/src/notices.rs
@@ -17,16 +17,16 @@
     }
     let Notice { load, limit, leaving, pause } = head.notice;
     if let Some(load) = load {
-        link.said(core.clock.now(), load);
+        link.set_load(core.clock.now(), load);
     }
     if let Some(pause) = pause {
         core.metrics.notice(link.entry.service.as_str(), "paused");
         link.pause(core.clock.now() + pause);
     }
-    if leaving && link.leaves() {
+    if leaving && link.mark_leaving() {
         core.metrics.notice(link.entry.service.as_str(), "leaving");
         note!(logs::Event::TargetSaysLeaving, target = link.name());
-        core.leaves(&link.entry);
+        core.mark_leaving(&link.entry);
     }
     // Failures don't always say all that the target has to say.
     if limit.is_some() || parts.status.is_success() {
@@ -36,13 +36,13 @@
 
 fn take_limit(core: &Core, link: &Link, limit: Option<f64>) {
     if hear_limit(core, link, limit).is_some() {
-        core.members.limited(&link.entry.domain, &link.life(), limit);
+        core.members.limited(&link.entry.domain, &link.incarnation(), limit);
     }
 }
 
 /// Another host has been told of a limit, or of its end.
 pub(crate) fn told(core: &Core, word: &TargetLimit) {
-    if let Some(link) = core.life(&word.target) {
+    if let Some(link) = core.incarnation(&word.target) {
         hear_limit(core, &link, word.per_second);
     }
 }
--- a/crates/edge/src/source.rs
+++ b/crates/edge/src/source.rs
@@ -12,7 +12,7 @@
 use crate::directory::Directory;
 use crate::follow;
 use crate::members::Owner;
-use crate::shared;
+use crate::store_sync;
 
 /// Time from the start until a host asks others, ms: by then it knows them. Asked sooner, each of
 /// a fleet that starts at once would name another reader.
@@ -71,7 +71,7 @@
 
 /// A host that has just started reads until it holds all, and then waits for word of the others.
 fn settle(core: &Core) -> Next {
-    core.set_reading(!loaded(core) || core.sources().reads(core.clock.now()));
+    core.set_store_reader(!loaded(core) || core.sources().reads(core.clock.now()));
     Next::Rest
 }
 
@@ -82,18 +82,18 @@
 fn next(core: &Core) -> Next {
     let now = core.clock.now();
     let named = named(core, now);
-    if matches!(named, Some(Owner::Me)) && core.blind() {
+    if matches!(named, Some(Owner::Me)) && core.proof_overdue() {
         // The store turns this host away, or it is cut off: another may still be served.
         core.sources().failed(now, core.members.me(), ReaderFault::Stale);
     }
     let asked = core.sources().reads(now);
     match named {
         Some(Owner::Peer { host, addr }) => {
-            core.set_reading(asked || !loaded(core));
+            core.set_store_reader(asked || !loaded(core));
             Next::Ask(host, addr)
         }
         Some(Owner::Me) | None => {
-            core.set_reading(true);
+            core.set_store_reader(true);
             Next::Rest
         }
     }
@@ -117,7 +117,7 @@
         version: core.version().unwrap_or_default(),
         revision: core.revision().unwrap_or_default(),
         wait_ms: wait(core).0,
-        urgent: core.blind(),
+        urgent: core.proof_overdue(),
         evacuation: core.gate.evacuations().known().unwrap_or_default(),
     };
     let sent = core.clock.now();
@@ -128,8 +128,8 @@
             note!(logs::Event::PeerFailed, host = %host, call = "store", why = %err);
             core.sources().failed(now, host, ReaderFault::Unreachable);
         }
-        Ok(news) => match shared::take(core, directory, sent, news) {
-            Ok(()) if !core.blind() => core.sources().helped(),
+        Ok(news) => match store_sync::apply(core, directory, sent, news) {
+            Ok(()) if !core.proof_overdue() => core.sources().helped(),
             taken => {
                 let why = taken.err().map(|err| err.to_string());
                 note!(logs::Event::PeerFailed, host = %host, call = "store", why);
