--- a/crates/catalog/src/lib.rs
+++ b/crates/catalog/src/lib.rs
@@ -15,8 +15,8 @@
 pub use freshness::{Freshness, KEY_PROOF_SHARE, Proof};
 pub use log::{ChangeLog, Missing, Update};
 pub use model::{
-    Backend, Batch, Catalog, CatalogError, Engine, Limits, Repeat, Route, Service, Stage, Warmup,
-    Workspace,
+    Backend, Batch, Catalog, CatalogError, Engine, Limits, RetrySafety, Route, Service, Stage,
+    Warmup, Workspace,
 };
 pub use registry::{LAPSE_GRACE, Registry, RegistryEvent, Seen, Target};
 pub use residency::Residency;
--- a/crates/catalog/src/model.rs
+++ b/crates/catalog/src/model.rs
@@ -9,7 +9,7 @@
 
 /// What may be done again with a request, by the kind of its route.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
-pub enum Repeat {
+pub enum RetrySafety {
     /// May run any number of times.
     Idempotent,
     /// Runs at most once for each attempt of the caller.
@@ -20,7 +20,7 @@
     StreamResumable,
 }
 
-impl Repeat {
+impl RetrySafety {
     /// Whether the answer is an event stream.
     pub const fn is_stream(self) -> bool {
         matches!(self, Self::StreamOnce | Self::StreamResumable)
@@ -62,7 +62,7 @@
     /// Path prefix; begins and ends with a slash.
     pub prefix: String,
     /// What may be repeated.
-    pub repeat: Repeat,
+    pub retry_safety: RetrySafety,
     /// Longest time that a request is kept, ms.
     pub timeout: Ms,
     /// Time within which an answer is on time, ms.
--- a/crates/catalog/tests/routes.rs
+++ b/crates/catalog/tests/routes.rs
@@ -2,7 +2,7 @@
 
 use base::Ms;
 use catalog::{
-    Backend, Catalog, CatalogError, Freshness, KEY_PROOF_SHARE, Limits, Proof, Repeat, Residency,
+    Backend, Catalog, CatalogError, Freshness, KEY_PROOF_SHARE, Limits, Proof, Residency, RetrySafety,
     Route, Stage, Workspace,
 };
 use std::collections::HashMap;
@@ -13,7 +13,7 @@
         name: name.into(),
         host: host.into(),
         prefix: prefix.into(),
-        repeat: Repeat::Once,
+        retry_safety: RetrySafety::Once,
         timeout: Ms(1_000),
         aim: Ms(200),
         patience: None,
--- a/crates/edge/src/plain.rs
+++ b/crates/edge/src/plain.rs
@@ -42,7 +42,7 @@
 
 /// Runs it and gives the caller's answer.
 pub(crate) async fn run(core: &Core, call: &Call) -> Response<Out> {
-    let again = call.route.repeat.is_idempotent();
+    let again = call.route.retry_safety.is_idempotent();
     let mut tried: Vec<Arc<Link>> = Vec::new();
     let (mut sends, mut runs, mut failed) = (0, 0, None);
     let reason = loop {
--- a/crates/edge/src/relay.rs
+++ b/crates/edge/src/relay.rs
@@ -152,7 +152,7 @@
     }
 
     fn may_resume(&self) -> bool {
-        self.call.route.repeat.is_idempotent() && self.runs < self.call.route.attempts
+        self.call.route.retry_safety.is_idempotent() && self.runs < self.call.route.attempts
     }
 
     /// Tokens of an engine's memory.
@@ -195,7 +195,7 @@
         if time >= TOLD {
             self.core.members.sent(&link.entry.domain, &link.life(), time);
         }
-        let wait = match self.call.route.repeat.is_idempotent() {
+        let wait = match self.call.route.retry_safety.is_idempotent() {
             true if self.runs + 1 < self.call.route.attempts => left.min(FIRST_SILENCE + reading),
             _ => left,
         };
--- a/crates/edge/src/relay/forward.rs
+++ b/crates/edge/src/relay/forward.rs
@@ -19,7 +19,7 @@
             let Some(open) = &mut self.open else { return Some(Err(Cut)) };
             let now = self.core.clock.now();
             let left = self.call.deadline - now;
-            let resumable = self.call.route.repeat.is_idempotent();
+            let resumable = self.call.route.retry_safety.is_idempotent();
             let wait = if resumable { left.min(SILENCE) } else { left };
             let frame = tokio::time::timeout(wait.duration(), open.body.frame()).await;
             let fault = match frame {
--- a/crates/edge/src/request.rs
+++ b/crates/edge/src/request.rs
@@ -76,7 +76,7 @@
     let id = ask.id.clone();
     let waits = Waits { core: core.clone(), request: id.clone(), arrived, answered: false };
     let mut response = match admit(&app, arrived, ask, parts, body).await {
-        Ok(call) if call.route.repeat.is_stream() => stream::run(app.clone(), call).await,
+        Ok(call) if call.route.retry_safety.is_stream() => stream::run(app.clone(), call).await,
         Ok(call) => plain::run(&core, &call).await,
         Err((reason, left)) => {
             note!(
--- a/crates/sched/tests/small.rs
+++ b/crates/sched/tests/small.rs
@@ -1,7 +1,7 @@
 //! Budget, poison, health, estimates and the time to come back.
 
 use base::{Ms, PoolId, TargetId};
-use catalog::{Backend, Batch, Repeat, Residency, Route, Stage};
+use catalog::{Backend, Batch, Residency, RetrySafety, Route, Stage};
 use sched::budget::{Allowance, Budget};
 use sched::comeback::retry_after;
 use sched::estimate::Estimate;
@@ -138,7 +138,7 @@
         name: "r".into(),
         host: "h".into(),
         prefix: "/".into(),
-        repeat: Repeat::StreamOnce,
+        retry_safety: RetrySafety::StreamOnce,
         timeout: Ms(1),
         aim: Ms(1),
         patience: None,
