--- a/crates/catalog/src/model.rs
+++ b/crates/catalog/src/model.rs
@@ -66,9 +66,9 @@
     /// Longest time that a request is kept, ms.
     pub timeout: Ms,
     /// Time within which an answer is on time, ms.
-    pub aim: Ms,
+    pub latency_goal: Ms,
     /// Time after which callers leave when nothing has come, ms; none when they wait to the end.
-    pub patience: Option<Ms>,
+    pub client_timeout: Option<Ms>,
     /// Rank; 0 is the most urgent.
     pub priority: u8,
     /// Services that run it.
--- a/crates/catalog/tests/routes.rs
+++ b/crates/catalog/tests/routes.rs
@@ -2,8 +2,8 @@
 
 use base::Ms;
 use catalog::{
-    Backend, Catalog, CatalogError, Freshness, KEY_PROOF_SHARE, Limits, Proof, Residency, RetrySafety,
-    Route, Stage, Workspace,
+    Backend, Catalog, CatalogError, Freshness, KEY_PROOF_SHARE, Limits, Proof, Residency,
+    RetrySafety, Route, Stage, Workspace,
 };
 use std::collections::HashMap;
 use std::sync::Arc;
@@ -15,8 +15,8 @@
         prefix: prefix.into(),
         retry_safety: RetrySafety::Once,
         timeout: Ms(1_000),
-        aim: Ms(200),
-        patience: None,
+        latency_goal: Ms(200),
+        client_timeout: None,
         priority: 1,
         backends: vec![Backend { service: "register".into(), weight: 1 }],
         attempts: 1,
--- a/crates/edge/src/plain.rs
+++ b/crates/edge/src/plain.rs
@@ -61,7 +61,7 @@
         };
         let more = again && runs + 1 < call.route.attempts;
         let wait = match more {
-            true => call.route.aim.scale(PATIENCE.0, PATIENCE.1).min(left),
+            true => call.route.latency_goal.scale(PATIENCE.0, PATIENCE.1).min(left),
             false => left,
         };
         let result = once(core, call, &link, wait).await;
@@ -144,8 +144,8 @@
     link.record(now, Outcome::Good(now - begun));
     core.poison().clear(call.fingerprint);
     core.metrics.sent(&call.route.name, "good");
-    core.metrics.answered(&call.route.name, now - call.arrived, call.route.aim);
-    let late = now - call.arrived - call.route.aim;
+    core.metrics.answered(&call.route.name, now - call.arrived, call.route.latency_goal);
+    let late = now - call.arrived - call.route.latency_goal;
     if let Some(stands_for) = core.sample(late > Ms::ZERO) {
         note!(
             logs::Event::RequestServed,
--- a/crates/edge/src/relay/forward.rs
+++ b/crates/edge/src/relay/forward.rs
@@ -68,7 +68,7 @@
         }
         self.first = Some(now);
         let route = &self.call.route;
-        self.core.metrics.answered(&route.name, now - self.call.arrived, route.aim);
+        self.core.metrics.answered(&route.name, now - self.call.arrived, route.latency_goal);
     }
 
     pub(super) fn finish(&mut self) {
@@ -76,7 +76,7 @@
         self.core.poison().clear(self.call.fingerprint);
         self.core.metrics.sent(&self.call.route.name, "good");
         let now = self.core.clock.now();
-        let late = self.first.unwrap_or(now) - self.call.arrived - self.call.route.aim;
+        let late = self.first.unwrap_or(now) - self.call.arrived - self.call.route.latency_goal;
         if let Some(stands_for) = self.core.sample(late > Ms::ZERO) {
             note!(
                 logs::Event::RequestServed,
--- a/crates/edge/src/stages.rs
+++ b/crates/edge/src/stages.rs
@@ -142,7 +142,7 @@
 
     fn note(&self, i: usize, fault: Option<StageFault>) {
         let now = self.app.core.clock.now();
-        let due = self.call.arrived + self.call.route.aim - self.after[i];
+        let due = self.call.arrived + self.call.route.latency_goal - self.after[i];
         let wait = match fault {
             Some(StageFault::Late(wait)) => Some(wait.0),
             _ => None,
@@ -226,8 +226,8 @@
     fn work(&self, i: usize, pieces: u32) -> StageWork {
         let stage = &self.call.route.stages[i];
         let now = self.app.core.clock.now();
-        let due = self.call.arrived + self.call.route.aim - self.after[i];
-        let patience = self.call.route.patience.map_or(Ms::MAX, |p| self.call.arrived + p);
+        let due = self.call.arrived + self.call.route.latency_goal - self.after[i];
+        let patience = self.call.route.client_timeout.map_or(Ms::MAX, |p| self.call.arrived + p);
         // The stages after it need at least their bare time.
         let expires = self.call.deadline.min(patience) - self.after[i].scale(1, 2);
         // A call that begins after its inputs have lapsed makes nothing.
