--- a/crates/catalog/src/lib.rs
+++ b/crates/catalog/src/lib.rs
@@ -18,5 +18,5 @@
     Backend, Batch, Catalog, CatalogError, Engine, Limits, RetrySafety, Route, Service, Stage,
     Warmup, Workspace,
 };
-pub use registry::{LAPSE_GRACE, Registry, RegistryEvent, Seen, Target};
+pub use registry::{LAPSE_GRACE, Observation, Registry, RegistryEvent, Target};
 pub use residency::Residency;
--- a/crates/catalog/src/registry.rs
+++ b/crates/catalog/src/registry.rs
@@ -37,7 +37,7 @@
 
 /// What is read from the platform.
 #[derive(Clone, Debug)]
-pub enum Seen {
+pub enum Observation {
     /// All entries there are.
     List {
         /// The entries that can be read.
@@ -60,8 +60,8 @@
     },
 }
 
-impl Seen {
-    /// One change; `lapse` as in [`Seen::Removed`].
+impl Observation {
+    /// One change; `lapse` as in [`Observation::Removed`].
     pub fn update(update: Update, lapse: Option<Ms>) -> Self {
         match update {
             Update::Set(entry) => Self::Entry(entry),
@@ -95,10 +95,10 @@
 
 impl Registry {
     /// Takes what was read. Gives what changed.
-    pub fn learn(&mut self, now: Ms, seen: Seen) -> Vec<RegistryEvent> {
+    pub fn apply(&mut self, now: Ms, seen: Observation) -> Vec<RegistryEvent> {
         let mut out = Vec::new();
         match seen {
-            Seen::List { entries, names, lapse } => {
+            Observation::List { entries, names, lapse } => {
                 let names: HashSet<TargetId> = names.into_iter().collect();
                 let readable: HashSet<TargetId> = entries.iter().map(|e| e.id.clone()).collect();
                 for entry in entries {
@@ -113,16 +113,16 @@
                     }
                 }
             }
-            Seen::Entry(entry) => self.take(entry, &mut out),
-            Seen::Malformed(id) => self.drop_now(&id, &mut out),
-            Seen::Removed { id, lapse } => self.missing(now, &id, lapse, &mut out),
+            Observation::Entry(entry) => self.take(entry, &mut out),
+            Observation::Malformed(id) => self.drop_now(&id, &mut out),
+            Observation::Removed { id, lapse } => self.missing(now, &id, lapse, &mut out),
         }
         out
     }
 
     /// A target has said itself, in this life, that it leaves. Its entry may say so much later, or
     /// never where the store is away. Gives what changed.
-    pub fn leaves(&mut self, now: Ms, id: &TargetId, born: u64) -> Vec<RegistryEvent> {
+    pub fn mark_leaving(&mut self, now: Ms, id: &TargetId, born: u64) -> Vec<RegistryEvent> {
         self.left.insert(id.clone(), (born, now));
         let ready = |t: &Arc<Target>| t.entry.born == born && t.entry.state == TargetState::Ready;
         match self.targets.get(id).is_some_and(ready) {
@@ -154,7 +154,7 @@
     ///
     /// A registration that only counts on is no change: each target renews its own all the time.
     /// That one is cold, or no longer, is.
-    pub fn differs(&self, entries: &[Entry], names: &[TargetId]) -> Vec<Update> {
+    pub fn diff(&self, entries: &[Entry], names: &[TargetId]) -> Vec<Update> {
         let readable: HashSet<&TargetId> = entries.iter().map(|e| &e.id).collect();
         let listed: HashSet<&TargetId> = names.iter().collect();
         let same = |a: &Entry, b: &Entry| {
--- a/crates/edge/src/core/known.rs
+++ b/crates/edge/src/core/known.rs
@@ -1,7 +1,9 @@
 //! What a host knows of the platform's store, and how it takes what it reads or is told.
 
 use base::{Ms, TargetId};
-use catalog::{ChangeLog, Entry, Freshness, Missing, Proof, Registry, RegistryEvent, Seen, Update};
+use catalog::{
+    ChangeLog, Entry, Freshness, Missing, Observation, Proof, Registry, RegistryEvent, Update,
+};
 use logs::note;
 use sched::evacuation::{EvacuationEvent, Evacuations};
 use sched::warmup::UNHEARD;
@@ -166,10 +168,10 @@
     pub(crate) fn take_list(&self, revision: u64, entries: Vec<Entry>, names: Vec<TargetId>) {
         let now = self.clock.now();
         let mut known = lock(&self.known);
-        let updates = known.registry.differs(&entries, &names);
+        let updates = known.registry.diff(&entries, &names);
         known.log.append(revision, updates);
         let lapse = known.lapse(now);
-        let events = known.registry.learn(now, Seen::List { entries, names, lapse });
+        let events = known.registry.apply(now, Observation::List { entries, names, lapse });
         self.note(&mut known, events);
     }
 
@@ -181,7 +183,7 @@
         let lapse = known.lapse(now);
         let mut events = Vec::new();
         for update in updates {
-            events.extend(known.registry.learn(now, Seen::update(update, lapse)));
+            events.extend(known.registry.apply(now, Observation::update(update, lapse)));
         }
         self.note(&mut known, events);
     }
@@ -206,7 +208,7 @@
     /// A target has said itself, in this life, that it leaves.
     pub(crate) fn leaves(&self, entry: &Entry) {
         let mut known = lock(&self.known);
-        let events = known.registry.leaves(self.clock.now(), &entry.id, entry.born);
+        let events = known.registry.mark_leaving(self.clock.now(), &entry.id, entry.born);
         self.note(&mut known, events);
     }
 
