--- a/crates/catalog/src/lib.rs
+++ b/crates/catalog/src/lib.rs
@@ -13,7 +13,7 @@
 
 pub use entry::{Entry, TargetState};
 pub use freshness::{Freshness, KEY_PROOF_SHARE, Proof};
-pub use log::{ChangeLog, Missing, Update};
+pub use log::{ChangeLog, Delta, Update};
 pub use model::{
     Backend, Batch, Catalog, CatalogError, Engine, Limits, RetrySafety, Route, Service, Stage,
     Warmup, Workspace,
--- a/crates/catalog/src/log.rs
+++ b/crates/catalog/src/log.rs
@@ -34,11 +34,11 @@
 
 /// What a host that holds the targets up to some revision lacks.
 #[derive(Clone, Debug, PartialEq)]
-pub enum Missing {
+pub enum Delta {
     /// The last change of each target since then.
     Updates(Vec<Update>),
     /// What happened since then isn't known here: it needs the whole list.
-    All,
+    FullList,
 }
 
 /// The log.
@@ -70,15 +70,15 @@
     }
 
     /// What a host lacks that holds the targets up to `revision`.
-    pub fn since(&self, revision: u64) -> Missing {
+    pub fn since(&self, revision: u64) -> Delta {
         if self.floor.is_none_or(|floor| revision < floor) {
-            return Missing::All;
+            return Delta::FullList;
         }
         let news = || self.changes.iter().filter(|(at, _)| *at > revision);
         // An older change of a target that came back would take it away for a moment.
         let last: HashMap<&TargetId, usize> =
             news().enumerate().map(|(i, (_, update))| (update.name(), i)).collect();
         let newest = news().enumerate().filter(|(i, (_, update))| last[update.name()] == *i);
-        Missing::Updates(newest.map(|(_, (_, update))| update.clone()).collect())
+        Delta::Updates(newest.map(|(_, (_, update))| update.clone()).collect())
     }
 }
--- a/crates/edge/src/core/known.rs
+++ b/crates/edge/src/core/known.rs
@@ -2,7 +2,7 @@
 
 use base::{Ms, TargetId};
 use catalog::{
-    ChangeLog, Entry, Freshness, Missing, Observation, Proof, Registry, RegistryEvent, Update,
+    ChangeLog, Delta, Entry, Freshness, Observation, Proof, Registry, RegistryEvent, Update,
 };
 use logs::note;
 use sched::evacuation::{EvacuationEvent, Evacuations};
@@ -189,7 +189,7 @@
     }
 
     /// What a host lacks that knows the targets up to `revision`.
-    pub(crate) fn missing(&self, revision: u64) -> Missing {
+    pub(crate) fn missing(&self, revision: u64) -> Delta {
         lock(&self.known).log.since(revision)
     }
 
--- a/crates/edge/src/shared.rs
+++ b/crates/edge/src/shared.rs
@@ -3,7 +3,7 @@
 
 use base::{DomainId, Ms};
 use bytes::Bytes;
-use catalog::{Entry, Missing, TargetState, Update};
+use catalog::{Delta, Entry, TargetState, Update};
 use flate2::Compression;
 use flate2::read::{ZlibDecoder, ZlibEncoder};
 use std::io::{self, Read};
@@ -137,8 +137,8 @@
     match core.missing(revision) {
         // It knows no target yet itself.
         _ if core.revision().is_none() => (Vec::new(), false),
-        Missing::Updates(updates) => (updates.iter().map(to_wire).collect(), false),
-        Missing::All => {
+        Delta::Updates(updates) => (updates.iter().map(to_wire).collect(), false),
+        Delta::FullList => {
             let all = core.entries().into_iter().map(Update::Set);
             (all.map(|u| to_wire(&u)).collect(), true)
         }
