--- a/crates/catalog/src/model.rs
+++ b/crates/catalog/src/model.rs
@@ -122,7 +122,7 @@
     /// Room for results at one target, bytes.
     pub room: u64,
     /// How long a result lives after its call, ms.
-    pub keep: Ms,
+    pub result_ttl: Ms,
 }
 
 impl Batch {
@@ -182,14 +182,19 @@
     /// Bytes of a request's body.
     pub body_bytes: usize,
     /// Time to send a head, ms.
-    pub header: Ms,
+    pub header_timeout: Ms,
     /// Time that a connection may stay idle, ms.
-    pub idle: Ms,
+    pub idle_timeout: Ms,
 }
 
 impl Default for Limits {
     fn default() -> Self {
-        Self { header_bytes: 16 << 10, body_bytes: 4 << 20, header: Ms(3_000), idle: Ms(15_000) }
+        Self {
+            header_bytes: 16 << 10,
+            body_bytes: 4 << 20,
+            header_timeout: Ms(3_000),
+            idle_timeout: Ms(15_000),
+        }
     }
 }
 
--- a/crates/catalog/src/residency.rs
+++ b/crates/catalog/src/residency.rs
@@ -28,7 +28,7 @@
     }
 
     /// What both allow.
-    pub fn and(&self, other: &Self) -> Self {
+    pub fn intersect(&self, other: &Self) -> Self {
         match (self, other) {
             (Self::Anywhere, limit) | (limit, Self::Anywhere) => limit.clone(),
             (Self::Within(regions), limit) => {
--- a/crates/catalog/tests/registry.rs
+++ b/crates/catalog/tests/registry.rs
@@ -89,8 +89,16 @@
 fn an_older_entry_of_one_life_changes_nothing() {
     let mut registry = Registry::default();
     registry.apply(Ms(0), list(vec![entry("a", TargetState::Ready, 5, 2)], None));
-    assert!(registry.apply(Ms(1), Observation::Entry(entry("a", TargetState::Draining, 4, 2))).is_empty());
-    assert!(registry.apply(Ms(1), Observation::Entry(entry("a", TargetState::Draining, 9, 1))).is_empty());
+    assert!(
+        registry
+            .apply(Ms(1), Observation::Entry(entry("a", TargetState::Draining, 4, 2)))
+            .is_empty()
+    );
+    assert!(
+        registry
+            .apply(Ms(1), Observation::Entry(entry("a", TargetState::Draining, 9, 1)))
+            .is_empty()
+    );
     assert_eq!(registry.targets().next().unwrap().entry.state, TargetState::Ready);
 }
 
--- a/crates/catalog/tests/residency.rs
+++ b/crates/catalog/tests/residency.rs
@@ -15,16 +15,16 @@
 
 #[test]
 fn a_route_and_a_workspace_bind_together() {
-    let both = within(&["dakar", "thies"]).and(&within(&["thies", "saint-louis"]));
+    let both = within(&["dakar", "thies"]).intersect(&within(&["thies", "saint-louis"]));
     assert_eq!(both, within(&["thies"]));
-    assert_eq!(Residency::Anywhere.and(&within(&["thies"])), within(&["thies"]));
-    assert_eq!(within(&["thies"]).and(&Residency::Anywhere), within(&["thies"]));
+    assert_eq!(Residency::Anywhere.intersect(&within(&["thies"])), within(&["thies"]));
+    assert_eq!(within(&["thies"]).intersect(&Residency::Anywhere), within(&["thies"]));
 }
 
 /// Guards against two declarations without a common region being read as none at all.
 #[test]
 fn declarations_that_exclude_each_other_allow_nothing() {
-    let none = within(&["dakar"]).and(&within(&["thies"]));
+    let none = within(&["dakar"]).intersect(&within(&["thies"]));
     assert!(none.is_nowhere());
     assert!(!none.allows(&"dakar".into()));
     assert!(!none.allows(&"thies".into()));
--- a/crates/edge/src/accept.rs
+++ b/crates/edge/src/accept.rs
@@ -211,12 +211,12 @@
 async fn unused(core: &Core, activity: &Activity) -> Unused {
     loop {
         let limits = core.limits();
-        let left = activity.left(limits.idle, limits.header);
+        let left = activity.left(limits.idle_timeout, limits.header_timeout);
         if left == Ms::ZERO {
             return activity.unused();
         }
         // A head may begin meanwhile, so look again after its time at the latest.
-        tokio::time::sleep(left.min(limits.header).duration()).await;
+        tokio::time::sleep(left.min(limits.header_timeout).duration()).await;
     }
 }
 
--- a/crates/edge/src/request.rs
+++ b/crates/edge/src/request.rs
@@ -163,7 +163,7 @@
         return Err(refused(Reason::NoConfig));
     }
     let allowed = workspace.as_ref().map_or(Residency::Anywhere, |w| w.residency.clone());
-    let residency = route.residency.and(&allowed);
+    let residency = route.residency.intersect(&allowed);
     if residency.is_nowhere() {
         return Err(refused(Reason::Nowhere));
     }
--- a/crates/edge/src/stages/outputs.rs
+++ b/crates/edge/src/stages/outputs.rs
@@ -38,7 +38,7 @@
         if let Some(batch) = batch(self.call, &self.call.route.stages[i].service) {
             // Its first piece may have been made some calls before its last.
             let made = self.begun[i].unwrap_or(now).max(now - self.times[i]);
-            self.lapse[i] = made + batch.keep;
+            self.lapse[i] = made + batch.result_ttl;
         }
         let service = &self.call.route.stages[i].service;
         if let Some(begun) = self.begun[i] {
--- a/crates/model/src/stages/path.rs
+++ b/crates/model/src/stages/path.rs
@@ -94,8 +94,14 @@
 
 /// How the three services run calls.
 pub(super) fn services() -> [Batch; 3] {
-    let batch =
-        |size, item_ms, room| Batch { slots: 1, size, call_ms: 240.0, item_ms, room, keep: KEEP };
+    let batch = |size, item_ms, room| Batch {
+        slots: 1,
+        size,
+        call_ms: 240.0,
+        item_ms,
+        room,
+        result_ttl: KEEP,
+    };
     [batch(8, 26.0, 9_600_000), batch(14, 15.0, 1_600_000), batch(22, 9.4, 250_000)]
 }
 
--- a/crates/sched/src/batch/ends.rs
+++ b/crates/sched/src/batch/ends.rs
@@ -64,7 +64,7 @@
             return;
         };
         if let Some(target) = self.targets.get_mut(target) {
-            target.room.keep(now, handle.clone(), waiting.piece.bytes, now + self.shape.keep);
+            target.room.keep(now, handle.clone(), waiting.piece.bytes, now + self.shape.result_ttl);
         }
         let target = Some(target.clone());
         out.push(Effect::End { piece, end: PieceEnd::Made(handle), target });
--- a/crates/sched/tests/common/mod.rs
+++ b/crates/sched/tests/common/mod.rs
@@ -15,7 +15,7 @@
 /// One place, eight pieces a call of 240 ms and 10 ms a piece, and room for 100 small results.
 pub fn shape() -> Batch {
     let (call_ms, item_ms) = (240.0, 10.0);
-    Batch { slots: 1, size: 8, call_ms, item_ms, room: 100 * KB, keep: Ms(4_000) }
+    Batch { slots: 1, size: 8, call_ms, item_ms, room: 100 * KB, result_ttl: Ms(4_000) }
 }
 
 fn allowance() -> Allowance {
--- a/crates/sched/tests/load.rs
+++ b/crates/sched/tests/load.rs
@@ -63,7 +63,7 @@
             call_ms: 240.0,
             item_ms: 15.0,
             room: u64::MAX,
-            keep: Ms(4_000),
+            result_ttl: Ms(4_000),
         };
         let allowance = Allowance { ratio: 0.2, slack: 50.0, window: Ms(10_000) };
         let batcher = |_| Batcher::new(PoolId::from("stock"), shape.clone(), allowance);
--- a/crates/sched/tests/small.rs
+++ b/crates/sched/tests/small.rs
@@ -114,7 +114,7 @@
 
 fn batch() -> Batch {
     let (call_ms, item_ms) = (240.0, 10.0);
-    Batch { slots: 1, size: 8, call_ms, item_ms, room: 1_000, keep: Ms(4_000) }
+    Batch { slots: 1, size: 8, call_ms, item_ms, room: 1_000, result_ttl: Ms(4_000) }
 }
 
 #[test]
