--- a/crates/catalog/src/entry.rs
+++ b/crates/catalog/src/entry.rs
@@ -1,36 +1,37 @@
-//! What one target says of itself.
+//! A target's registration.
 
 use base::{DomainId, Ms, PoolId, TargetId};
 use std::net::SocketAddr;
 
-/// Whether a target takes work.
+/// Whether a target takes new work.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 pub enum TargetState {
-    /// Takes work.
+    /// Takes new work.
     Ready,
-    /// Finishes what it has and leaves.
+    /// Finishes the work that it has, then leaves.
     Draining,
 }
 
 /// A target's registration.
 #[derive(Clone, Debug, PartialEq)]
 pub struct Entry {
-    /// Its name; sent along with work, so that whoever has its address later refuses it.
+    /// Its name. It is sent along with each request, so that another target that gets the same
+    /// address later refuses the request.
     pub id: TargetId,
     /// The service it belongs to.
     pub service: PoolId,
-    /// Where it listens.
+    /// The address it listens on.
     pub addr: SocketAddr,
     /// Its failure domain.
     pub domain: DomainId,
-    /// Work it runs at once.
+    /// Number of requests or calls it runs concurrently.
     pub slots: u32,
-    /// Whether it takes work.
+    /// Whether it takes new work.
     pub state: TargetState,
-    /// How much longer it stays slow after its start, ms.
+    /// Remaining time for which it is slow after its start, ms.
     pub warmup: Ms,
-    /// Its own count of what it wrote since its start.
+    /// Number of registrations it has written since its start.
     pub seq: u64,
-    /// When it started, ms since the Unix epoch: tells two lives under one name apart.
+    /// Start time, ms since the Unix epoch. Tells apart two incarnations with the same name.
     pub born: u64,
 }
--- a/crates/catalog/src/freshness.rs
+++ b/crates/catalog/src/freshness.rs
@@ -1,63 +1,65 @@
-//! What a host may still do by the age of what it knows.
+//! Decides whether a host may still accept API keys, by the age of its last confirmed read of the
+//! store.
 //!
-//! Answers: a key is taken away while a host is cut off from the store, or frozen. Without it the
-//! host would go on serving the key from memory. Only an answer of the store that can't be stale
-//! proves that the configuration was current, and it proves it for the moment at which the call
-//! was sent: a change may have been accepted right after the store looked. The clock must count
-//! the time that a host was suspended, since the store went on meanwhile.
+//! A key may be revoked while a host is cut off from the store, or frozen. Without a limit on that
+//! age, the host would go on accepting the key from the configuration in its memory. Only a
+//! response of the store that can't be stale proves that the configuration was current, and it
+//! proves this only for the moment at which the read was sent, because the store may have accepted
+//! a change right after it evaluated the read. The clock must include the time for which the host
+//! was suspended, since changes at the store continue meanwhile.
 
 use base::Ms;
 
-/// Part of the allowed age of a proof that a host uses, in percent. The rest covers a request's
-/// way from the caller, clocks that tick apart and the time until the target begins.
-pub const KEY_PROOF_SHARE: u64 = 80;
+/// Part of the permitted age of a proof that a host uses, percent. The rest covers a request's way
+/// from the caller, clocks that run at different rates and the time until the target starts work.
+pub const KEY_PROOF_PERCENT: u64 = 80;
 
-/// What the age of the last proof allows.
+/// Whether the last proof is recent enough to accept API keys.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 pub enum Proof {
-    /// Keys may be served.
+    /// Requests with keys may be served.
     Current,
     /// The last proof is too old, or there was none.
     Stale {
-        /// Its age, ms; none when there was no proof since the start.
+        /// Its age, ms; `None` if there was no proof since the start.
         age: Option<Ms>,
     },
 }
 
-/// Age of the last proof that the configuration is the newest.
+/// The last proof that the configuration was current, and how old it may be.
 #[derive(Clone, Copy, Debug)]
 pub struct Freshness {
-    bound: Ms,
+    max_age: Ms,
     proved: Option<Ms>,
 }
 
 impl Freshness {
-    /// `revoke` is the time within which a key that was taken away must stop working everywhere;
-    /// none where there is no such bound.
+    /// `revoke` is the time within which a revoked key must stop working on all hosts; `None` if
+    /// there is no such limit.
     pub fn new(revoke: Option<Ms>) -> Self {
-        let bound = revoke.map_or(Ms::MAX, |r| r.scale(KEY_PROOF_SHARE, 100));
-        Self { bound, proved: None }
+        let max_age = revoke.map_or(Ms::MAX, |r| r.scale(KEY_PROOF_PERCENT, 100));
+        Self { max_age, proved: None }
     }
 
-    /// A read that can't be stale was sent at `sent` and has been answered.
+    /// Records that a read that can't be stale was sent at `sent` and has been answered.
     pub fn prove(&mut self, sent: Ms) {
         self.proved = self.proved.max(Some(sent));
     }
 
-    /// When the read was sent that is the last proof; none before the first.
+    /// When the read that gave the last proof was sent; `None` before the first proof.
     pub fn proved(&self) -> Option<Ms> {
         self.proved
     }
 
-    /// Age of the last proof, ms; none before the first.
+    /// Age of the last proof, ms; `None` before the first.
     pub fn age(&self, now: Ms) -> Option<Ms> {
         self.proved.map(|at| now - at)
     }
 
-    /// Whether keys may be served at `now`.
+    /// Whether requests with keys may be served at `now`.
     pub fn check(&self, now: Ms) -> Proof {
         match self.age(now) {
-            Some(age) if age <= self.bound => Proof::Current,
+            Some(age) if age <= self.max_age => Proof::Current,
             age => Proof::Stale { age },
         }
     }
--- a/crates/catalog/src/lib.rs
+++ b/crates/catalog/src/lib.rs
@@ -1,8 +1,9 @@
 //! What the edge hosts serve: routes, services, workspaces and live targets.
 //!
-//! [`Catalog`] is one accepted version of the operators' declarations, checked and indexed.
-//! [`Registry`] is what targets say of themselves, and [`ChangeLog`] how that changed, for hosts that
-//! follow this one. [`Freshness`] tells what a host may still do by the age of what it knows. Nothing here does I/O or reads a clock.
+//! [`Catalog`] is one accepted version of the operators' declarations, validated and indexed.
+//! [`Registry`] holds the targets' registrations, and [`ChangeLog`] records how they changed, for
+//! the hosts that follow this one. [`Freshness`] decides whether a host may still accept API keys,
+//! by the age of its last confirmed read. Nothing here does I/O or reads a clock.
 
 mod entry;
 mod freshness;
@@ -12,7 +13,7 @@
 mod residency;
 
 pub use entry::{Entry, TargetState};
-pub use freshness::{Freshness, KEY_PROOF_SHARE, Proof};
+pub use freshness::{Freshness, KEY_PROOF_PERCENT, Proof};
 pub use log::{ChangeLog, Delta, Update};
 pub use model::{
     Backend, Batch, Catalog, CatalogError, Engine, Limits, RetrySafety, Route, Service, Stage,
--- a/crates/catalog/src/log.rs
+++ b/crates/catalog/src/log.rs
@@ -1,29 +1,29 @@
 //! Changes of targets in the order of the platform's store, for hosts that follow this one.
 //!
-//! Each host keeps the log of what it learns, whoever it learns it from, so that any of them can
-//! take over from one that was lost without reading the whole list again.
+//! Each host logs all changes that it learns of, from the store or from another host. Any host can
+//! therefore take over from one that was lost without reading the complete list again.
 
 use base::TargetId;
 use std::collections::{HashMap, VecDeque};
 
 use crate::Entry;
 
-/// Most changes that are kept: some minutes of a fleet whose targets are all replaced.
-const MOST: usize = 4_096;
+/// Maximum number of changes kept: several minutes of a fleet in which all targets are replaced.
+const MAX_CHANGES: usize = 4_096;
 
-/// What became of a target.
+/// A change of one target.
 #[derive(Clone, Debug, PartialEq)]
 pub enum Update {
-    /// It is registered so.
+    /// It was registered, or its registration changed.
     Set(Entry),
-    /// Its registration can't be read.
+    /// Its registration can't be decoded.
     Malformed(TargetId),
     /// Its registration was removed.
     Removed(TargetId),
 }
 
 impl Update {
-    /// Whose.
+    /// The target's name.
     pub fn name(&self) -> &TargetId {
         match self {
             Self::Set(entry) => &entry.id,
@@ -32,53 +32,55 @@
     }
 }
 
-/// What a host that holds the targets up to some revision lacks.
+/// What a host that knows the targets up to some revision is missing.
 #[derive(Clone, Debug, PartialEq)]
 pub enum Delta {
-    /// The last change of each target since then.
+    /// The latest change of each target since that revision.
     Updates(Vec<Update>),
-    /// What happened since then isn't known here: it needs the whole list.
+    /// Not all changes since that revision are known here; the host needs the complete list.
     FullList,
 }
 
-/// The log.
+/// A log of the latest changes of targets.
 #[derive(Debug, Default)]
 pub struct ChangeLog {
-    /// Revision after which all changes are known; none before the first list.
+    /// Revision after which all changes are known; `None` before the first list.
     floor: Option<u64>,
     newest: u64,
     changes: VecDeque<(u64, Update)>,
 }
 
 impl ChangeLog {
-    /// The revision up to which this host knows the targets; none before the first list.
+    /// The revision up to which this host knows the targets; `None` before the first list.
     pub fn revision(&self) -> Option<u64> {
         self.floor.map(|_| self.newest)
     }
 
-    /// Takes what changed up to `revision` since the last call.
+    /// Appends what changed since the last call, up to `revision`.
     pub fn append(&mut self, revision: u64, updates: Vec<Update>) {
         self.floor.get_or_insert(revision);
         self.newest = self.newest.max(revision);
-        // A list may be of an older revision than what a watch has told: what differs was found
-        // now, and whoever follows must hear of it.
+        // A list may have an older revision than what a watch has already delivered. What the list
+        // adds gets the newest revision, because followers are past the list's own revision and
+        // would never be sent it.
         let at = self.newest;
         self.changes.extend(updates.into_iter().map(|u| (at, u)));
-        while self.changes.len() > MOST {
+        while self.changes.len() > MAX_CHANGES {
             self.floor = self.changes.pop_front().map(|(revision, _)| revision);
         }
     }
 
-    /// What a host lacks that holds the targets up to `revision`.
+    /// What a host that knows the targets up to `revision` is missing.
     pub fn since(&self, revision: u64) -> Delta {
         if self.floor.is_none_or(|floor| revision < floor) {
             return Delta::FullList;
         }
-        let news = || self.changes.iter().filter(|(at, _)| *at > revision);
-        // An older change of a target that came back would take it away for a moment.
+        let newer = || self.changes.iter().filter(|(at, _)| *at > revision);
+        // Only the last change of each target is sent: the earlier removal of a target that came
+        // back would make the follower drop it for a moment.
         let last: HashMap<&TargetId, usize> =
-            news().enumerate().map(|(i, (_, update))| (update.name(), i)).collect();
-        let newest = news().enumerate().filter(|(i, (_, update))| last[update.name()] == *i);
+            newer().enumerate().map(|(i, (_, update))| (update.name(), i)).collect();
+        let newest = newer().enumerate().filter(|(i, (_, update))| last[update.name()] == *i);
         Delta::Updates(newest.map(|(_, (_, update))| update.clone()).collect())
     }
 }
--- a/crates/catalog/src/model.rs
+++ b/crates/catalog/src/model.rs
@@ -1,4 +1,4 @@
-//! One accepted version of the routes, services and workspaces.
+//! The routes, services and workspaces of one accepted version of the declarations.
 
 use base::{Ms, PoolId, WorkspaceId};
 use std::collections::HashMap;
@@ -7,7 +7,7 @@
 
 use crate::Residency;
 
-/// What may be done again with a request, by the kind of its route.
+/// Whether a request may run more than once, by the kind of its route.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 pub enum RetrySafety {
     /// May run any number of times.
@@ -16,35 +16,35 @@
     Once,
     /// An event stream that runs at most once.
     StreamOnce,
-    /// An event stream that another target may take up after its last whole event.
+    /// An event stream that another target may continue after the last complete event.
     StreamResumable,
 }
 
 impl RetrySafety {
-    /// Whether the answer is an event stream.
+    /// Whether the response is an event stream.
     pub const fn is_stream(self) -> bool {
         matches!(self, Self::StreamOnce | Self::StreamResumable)
     }
 
-    /// Whether a request that may have run can be sent again.
+    /// Whether a request that may already have run can be sent again.
     pub const fn is_idempotent(self) -> bool {
         matches!(self, Self::Idempotent | Self::StreamResumable)
     }
 }
 
-/// A service that a route may send to, and its share.
+/// A service that a route can send requests to, with its weight.
 #[derive(Clone, Debug, PartialEq)]
 pub struct Backend {
-    /// Which service.
+    /// The service.
     pub service: PoolId,
-    /// Its share relative to the route's other backends.
+    /// Its weight relative to the route's other backends.
     pub weight: u32,
 }
 
-/// Work that must be done before a request can run.
+/// A step of work that must be complete before a request can run.
 #[derive(Clone, Debug, PartialEq)]
 pub struct Stage {
-    /// The service that does it.
+    /// The service that performs it.
     pub service: PoolId,
     /// Indexes of the stages whose results it reads.
     pub after: Vec<usize>,
@@ -52,40 +52,41 @@
     pub bytes: u64,
 }
 
-/// Requests with one host name and path prefix, and how they are served.
+/// How requests for one host name and path prefix are served.
 #[derive(Clone, Debug, PartialEq)]
 pub struct Route {
     /// Its name.
     pub name: Arc<str>,
     /// Host name, in lower case.
     pub host: String,
-    /// Path prefix; begins and ends with a slash.
+    /// Path prefix; starts and ends with a slash.
     pub prefix: String,
-    /// What may be repeated.
+    /// Whether its requests may run more than once.
     pub retry_safety: RetrySafety,
-    /// Longest time that a request is kept, ms.
+    /// Longest time that a request may take, ms.
     pub timeout: Ms,
-    /// Time within which an answer is on time, ms.
+    /// Time within which a response counts as on time, ms.
     pub latency_goal: Ms,
-    /// Time after which callers leave when nothing has come, ms; none when they wait to the end.
+    /// Time after which callers disconnect if nothing has arrived, ms; `None` if they wait until
+    /// the end.
     pub client_timeout: Option<Ms>,
-    /// Rank; 0 is the most urgent.
+    /// Priority; 0 is the most urgent.
     pub priority: u8,
-    /// Services that run it.
+    /// Services that run its requests.
     pub backends: Vec<Backend>,
-    /// Targets that may run one attempt of the caller.
+    /// Maximum number of targets that may run one attempt of the caller.
     pub attempts: u32,
-    /// Work that comes first.
+    /// Stages that run before the request itself.
     pub stages: Vec<Stage>,
-    /// Whether it is served without a key.
+    /// Whether it is served without an API key.
     pub public: bool,
-    /// Regions that its requests may be in.
+    /// Regions in which its requests may be processed.
     pub residency: Residency,
 }
 
 impl Route {
-    /// The service for a request, by a hash of its identifier: the same request always goes to
-    /// the same one, and requests spread by the weights.
+    /// The service for a request, chosen by a hash of its identifier: the same request always goes
+    /// to the same service, and requests are distributed by weight.
     pub fn backend(&self, hash: u64) -> Option<&PoolId> {
         let total: u64 = self.backends.iter().map(|b| u64::from(b.weight)).sum();
         if total == 0 {
@@ -101,37 +102,38 @@
         None
     }
 
-    /// Stages that no other stage reads: the target of the request itself gets their results.
+    /// Stages whose results no other stage reads. The target that runs the request itself gets
+    /// their results.
     pub fn last_stages(&self) -> impl Iterator<Item = usize> + '_ {
-        let read = |i: &usize| !self.stages.iter().any(|s| s.after.contains(i));
-        (0..self.stages.len()).filter(read)
+        let unread = |i: &usize| !self.stages.iter().any(|s| s.after.contains(i));
+        (0..self.stages.len()).filter(unread)
     }
 }
 
 /// How targets of a service run stage calls.
 #[derive(Clone, Debug, PartialEq)]
 pub struct Batch {
-    /// Calls that one target works on at once.
+    /// Calls that one target runs concurrently.
     pub slots: u32,
-    /// Pieces in one call at most.
+    /// Maximum number of pieces in one call.
     pub size: usize,
-    /// Fixed time of a call, ms.
+    /// Fixed part of a call's duration, ms.
     pub call_ms: f64,
-    /// Approximate time of each piece, ms.
+    /// Approximate duration added by each piece, ms.
     pub item_ms: f64,
-    /// Room for results at one target, bytes.
+    /// Capacity for results at one target, bytes.
     pub room: u64,
-    /// How long a result lives after its call, ms.
+    /// How long a target keeps a result after its call, ms.
     pub result_ttl: Ms,
 }
 
 impl Batch {
-    /// Declared time of a call with so many pieces, ms.
+    /// Declared duration of a call with this many pieces, ms.
     pub fn time(&self, pieces: usize) -> Ms {
         Ms((self.call_ms + self.item_ms * pieces as f64) as u64)
     }
 
-    /// The same of a full call.
+    /// Declared duration of a call with the maximum number of pieces, ms.
     pub fn full(&self) -> Ms {
         self.time(self.size)
     }
@@ -140,20 +142,20 @@
 /// How targets of a service run generations.
 #[derive(Clone, Debug, PartialEq)]
 pub struct Engine {
-    /// Requests that run at once.
+    /// Requests that run concurrently.
     pub slots: u32,
-    /// Memory, tokens.
+    /// Memory capacity, tokens.
     pub tokens: u64,
-    /// Time to copy a thousand tokens of memory from another engine, ms.
+    /// Time to copy the memory of a thousand tokens from another engine, ms.
     pub copy_ms: f64,
 }
 
 /// How a service's targets behave after a start.
 #[derive(Clone, Copy, Debug, PartialEq)]
 pub struct Warmup {
-    /// How long a target stays cold, ms.
+    /// How long a target stays cold after its start, ms.
     pub time: Ms,
-    /// Requests a second that a cold target stands, from all hosts together.
+    /// Requests per second that a cold target can handle, from all hosts together.
     pub per_second: f64,
 }
 
@@ -164,26 +166,26 @@
     pub name: PoolId,
     /// Path of its health check.
     pub health: String,
-    /// Connections that one target takes from all hosts together.
+    /// Connections that one target accepts from all hosts together.
     pub connections: u32,
-    /// For a service that runs stages.
+    /// Set for a service that runs stages.
     pub batch: Option<Batch>,
-    /// For a service that runs generations.
+    /// Set for a service that runs generations.
     pub engine: Option<Engine>,
-    /// For a service whose targets are cold after a start.
+    /// Set for a service whose targets are cold after a start.
     pub warmup: Option<Warmup>,
 }
 
-/// Bounds on what callers may send.
+/// Limits on what callers may send.
 #[derive(Clone, Debug, PartialEq)]
 pub struct Limits {
-    /// Bytes of a request's head.
+    /// Maximum size of a request's head, bytes.
     pub header_bytes: usize,
-    /// Bytes of a request's body.
+    /// Maximum size of a request's body, bytes.
     pub body_bytes: usize,
-    /// Time to send a head, ms.
+    /// Time within which a caller must have sent a request's head, ms.
     pub header_timeout: Ms,
-    /// Time that a connection may stay idle, ms.
+    /// Time for which a connection may stay idle, ms.
     pub idle_timeout: Ms,
 }
 
@@ -198,24 +200,24 @@
     }
 }
 
-/// Who a key belongs to.
+/// The workspace that an API key belongs to.
 #[derive(Clone, Debug, PartialEq, Eq)]
 pub struct Workspace {
     /// Its name.
     pub name: WorkspaceId,
-    /// Its rank, which goes before the route's.
+    /// Its priority, which replaces the route's.
     pub priority: Option<u8>,
-    /// Regions that its requests may be in.
+    /// Regions in which its requests may be processed.
     pub residency: Residency,
 }
 
-/// Why a set of declarations can't be used.
+/// Why a set of declarations is invalid.
 #[derive(Clone, Debug, PartialEq, Eq, Error)]
 pub enum CatalogError {
-    /// A path prefix doesn't begin and end with a slash.
+    /// A path prefix doesn't start and end with a slash.
     #[error("route {0}: its path prefix must begin and end with a slash")]
     Prefix(Arc<str>),
-    /// A stage reads a stage that doesn't come before it.
+    /// A stage reads the results of a stage that isn't declared before it.
     #[error("route {0}: a stage may read only stages that are declared before it")]
     StageOrder(Arc<str>),
     /// A route names no service.
@@ -226,9 +228,9 @@
 /// One accepted version of all declarations.
 #[derive(Debug)]
 pub struct Catalog {
-    /// Only ever rises.
+    /// Version number; only ever increases.
     pub version: u64,
-    /// Bounds on callers.
+    /// Limits on what callers may send.
     pub limits: Limits,
     routes: HashMap<String, Vec<Arc<Route>>>,
     services: HashMap<PoolId, Arc<Service>>,
@@ -236,7 +238,7 @@
 }
 
 impl Catalog {
-    /// Checks and indexes. `keys` is `None` where nobody needs one.
+    /// Validates and indexes declarations. `keys` is `None` if no request needs a key.
     pub fn new(
         version: u64,
         limits: Limits,
@@ -250,14 +252,15 @@
             by_host.entry(route.host.clone()).or_default().push(Arc::new(route));
         }
         for routes in by_host.values_mut() {
-            // The first that matches is then the longest.
+            // Longest first, so that the first prefix that matches is the longest.
             routes.sort_by_key(|r| std::cmp::Reverse(r.prefix.len()));
         }
         let services = services.into_iter().map(|s| (s.name.clone(), Arc::new(s))).collect();
         Ok(Self { version, limits, routes: by_host, services, keys })
     }
 
-    /// The route of a request: the longest prefix of the path among the host's routes.
+    /// The route of a request: the one with the longest matching path prefix among the routes of
+    /// the host name.
     pub fn route(&self, host: &str, path: &str) -> Option<&Arc<Route>> {
         let name = host.rsplit_once(':').map_or(host, |(name, _)| name);
         let routes = match self.routes.get(name) {
@@ -287,7 +290,7 @@
         self.keys.is_some()
     }
 
-    /// Whose key it is.
+    /// The workspace that a key belongs to.
     pub fn workspace(&self, key: &str) -> Option<&Arc<Workspace>> {
         self.keys.as_ref()?.get(key)
     }
--- a/crates/catalog/src/registry.rs
+++ b/crates/catalog/src/registry.rs
@@ -1,17 +1,19 @@
-//! Which targets there are, from what they register at the platform.
+//! The set of known targets, built from their registrations at the platform.
 //!
-//! | what is seen | what follows |
+//! An incarnation is one run of a target, from its start to its end.
+//!
+//! | observed | effect |
 //! |---|---|
-//! | an entry, ready | it takes work |
-//! | an entry, draining | nothing new, for the rest of that life |
-//! | its own word, in an answer, that it leaves | nothing new, for the rest of that life, whatever its entry says |
-//! | an entry that is cold for longer than before | it has gone cold again |
-//! | an entry of an earlier life, or an older one of this life | ignored |
-//! | a removal while the store is calm | gone at once |
-//! | missing, or removed, shortly after an outage | kept until [`LAPSE_GRACE`] after the store's return, then gone |
+//! | a registration in state ready | the target gets work |
+//! | a registration in state draining | no new work for the rest of that incarnation |
+//! | the target's own notice in a response that it is leaving | no new work for the rest of that incarnation, whatever its registration says |
+//! | a registration that is cold for longer than the previous one | the target has become cold again |
+//! | a registration of an earlier incarnation, or an older one of the same incarnation | ignored |
+//! | a removal without a recent outage of the store | the target is removed at once |
+//! | a registration missing or removed shortly after an outage of the store | the target is kept until [`LAPSE_GRACE`] after the store's return, then removed |
 //!
-//! Without the last row an outage in which all leases lapse would leave a host without a single
-//! target, though all of them run.
+//! The last rule covers an outage in which the leases of all registrations expire. Without it, a
+//! host would have no target left although all of them are running.
 
 use base::{Ms, TargetId};
 use std::collections::{HashMap, HashSet};
@@ -19,49 +21,50 @@
 
 use crate::{Entry, TargetState, Update};
 
-/// How long after the store's return a target that an outage may have unregistered is kept, ms.
-/// Live targets register again within about two seconds; the rest is for the list's own delay. A
-/// removal after that is the target's own, however it comes about.
+/// How long after the store's return a target is kept whose registration may have expired in the
+/// outage, ms. Live targets register again within about two seconds; the rest covers the delay of
+/// the list. A removal after that time counts as the target's own, whatever caused it.
 pub const LAPSE_GRACE: Ms = Ms(2_400);
 
-/// How long a target's own word that it leaves is remembered after its entry has gone, ms: an entry
-/// that an outage of the store took away may come back.
-const LEFT_KEEP: Ms = Ms::secs(600);
+/// How long a target's notice that it is leaving is remembered after its registration disappeared,
+/// ms: a registration that disappeared in an outage of the store may come back.
+const NOTICE_RETENTION: Ms = Ms::secs(600);
 
-/// A target that is known.
+/// A known target.
 #[derive(Clone, Debug, PartialEq)]
 pub struct Target {
-    /// What it said last.
+    /// Its latest registration.
     pub entry: Entry,
 }
 
-/// What is read from the platform.
+/// Registrations or changes of them, as read from the platform.
 #[derive(Clone, Debug)]
 pub enum Observation {
-    /// All entries there are.
+    /// The complete list of registrations.
     List {
-        /// The entries that can be read.
+        /// The registrations that could be decoded.
         entries: Vec<Entry>,
-        /// Names of all entries, readable or not.
+        /// Names of all registrations, decodable or not.
         names: Vec<TargetId>,
-        /// Until when what is missing counts as lapsed; none when the store was calm.
+        /// Until when a missing registration counts as expired in an outage; `None` if there was no
+        /// recent outage.
         lapse: Option<Ms>,
     },
-    /// One entry changed.
+    /// One registration was added or changed.
     Entry(Entry),
-    /// One entry can no longer be read; it names no target to use.
+    /// One registration can no longer be decoded, so its target is not used.
     Malformed(TargetId),
-    /// One entry was removed.
+    /// One registration was removed.
     Removed {
-        /// Whose.
+        /// The target.
         id: TargetId,
-        /// Until when it counts as lapsed in an outage; none when the store was calm.
+        /// Until when it counts as expired in an outage; `None` if there was no recent outage.
         lapse: Option<Ms>,
     },
 }
 
 impl Observation {
-    /// One change; `lapse` as in [`Observation::Removed`].
+    /// An observation of one change; `lapse` as in [`Observation::Removed`].
     pub fn update(update: Update, lapse: Option<Ms>) -> Self {
         match update {
             Update::Set(entry) => Self::Entry(entry),
@@ -71,33 +74,33 @@
     }
 }
 
-/// What changed.
+/// A change in the set of targets.
 #[derive(Clone, Debug, PartialEq)]
 pub enum RegistryEvent {
-    /// A target appeared, or came back in another life.
+    /// A target appeared, or came back as a new incarnation.
     Joined(TargetId),
-    /// A target takes nothing new.
+    /// A target takes no new work.
     Draining(TargetId),
-    /// A target has gone cold, and stays so for this long, ms.
+    /// A target has become cold, and stays cold for this long, ms.
     Cold(TargetId, Ms),
-    /// A target is gone.
+    /// A target was removed.
     Gone(TargetId),
 }
 
-/// The targets.
+/// The known targets.
 #[derive(Debug, Default)]
 pub struct Registry {
     targets: HashMap<TargetId, Arc<Target>>,
     lapsed: HashMap<TargetId, Ms>,
-    /// Lives of targets that have said themselves that they leave, and when they did.
-    left: HashMap<TargetId, (u64, Ms)>,
+    /// Incarnations (by start time) of targets that gave notice that they are leaving, and when.
+    leaving: HashMap<TargetId, (u64, Ms)>,
 }
 
 impl Registry {
-    /// Takes what was read. Gives what changed.
-    pub fn apply(&mut self, now: Ms, seen: Observation) -> Vec<RegistryEvent> {
+    /// Applies what was read and returns what changed.
+    pub fn apply(&mut self, now: Ms, observed: Observation) -> Vec<RegistryEvent> {
         let mut out = Vec::new();
-        match seen {
+        match observed {
             Observation::List { entries, names, lapse } => {
                 let names: HashSet<TargetId> = names.into_iter().collect();
                 let readable: HashSet<TargetId> = entries.iter().map(|e| e.id.clone()).collect();
@@ -120,10 +123,11 @@
         out
     }
 
-    /// A target has said itself, in this life, that it leaves. Its entry may say so much later, or
-    /// never where the store is away. Gives what changed.
+    /// Records the notice of a target, in the incarnation that started at `born`, that it is
+    /// leaving. Its registration may say so much later, or never if the store is unavailable.
+    /// Returns what changed.
     pub fn mark_leaving(&mut self, now: Ms, id: &TargetId, born: u64) -> Vec<RegistryEvent> {
-        self.left.insert(id.clone(), (born, now));
+        self.leaving.insert(id.clone(), (born, now));
         let ready = |t: &Arc<Target>| t.entry.born == born && t.entry.state == TargetState::Ready;
         match self.targets.get(id).is_some_and(ready) {
             true => vec![RegistryEvent::Draining(id.clone())],
@@ -131,13 +135,14 @@
         }
     }
 
-    /// Whether a target takes new work, by its entry and by its own word.
+    /// Whether a target takes new work, according to its registration and its notices.
     pub fn takes_work(&self, entry: &Entry) -> bool {
-        let left = self.left.get(&entry.id).is_some_and(|(born, _)| *born == entry.born);
-        entry.state == TargetState::Ready && !left
+        let leaving = self.leaving.get(&entry.id).is_some_and(|(born, _)| *born == entry.born);
+        entry.state == TargetState::Ready && !leaving
     }
 
-    /// Drops what lapsed and did not come back. Call it now and then.
+    /// Removes targets whose registration expired in an outage and did not come back. To be called
+    /// regularly.
     pub fn expire(&mut self, now: Ms) -> Vec<RegistryEvent> {
         let due: Vec<TargetId> =
             self.lapsed.iter().filter(|(_, at)| **at <= now).map(|(id, _)| id.clone()).collect();
@@ -146,21 +151,22 @@
             self.drop_now(&id, &mut out);
         }
         let targets = &self.targets;
-        self.left.retain(|id, (_, at)| targets.contains_key(id) || now - *at < LEFT_KEEP);
+        self.leaving.retain(|id, (_, at)| targets.contains_key(id) || now - *at < NOTICE_RETENTION);
         out
     }
 
-    /// What a whole list says that isn't known here.
+    /// The changes that a complete list contains compared with what is known here.
     ///
-    /// A registration that only counts on is no change: each target renews its own all the time.
-    /// That one is cold, or no longer, is.
+    /// A registration that differs only in its write counter or its remaining warm-up time is not a
+    /// change, because each target renews its registration all the time. Becoming cold or warm is a
+    /// change.
     pub fn diff(&self, entries: &[Entry], names: &[TargetId]) -> Vec<Update> {
         let readable: HashSet<&TargetId> = entries.iter().map(|e| &e.id).collect();
         let listed: HashSet<&TargetId> = names.iter().collect();
         let same = |a: &Entry, b: &Entry| {
             let cold = |e: &Entry| Ms(u64::from(e.warmup > Ms::ZERO));
-            let plain = |e: &Entry| Entry { seq: 0, warmup: cold(e), ..e.clone() };
-            plain(a) == plain(b)
+            let comparable = |e: &Entry| Entry { seq: 0, warmup: cold(e), ..e.clone() };
+            comparable(a) == comparable(b)
         };
         let known = |e: &Entry| self.targets.get(&e.id).is_some_and(|t| same(&t.entry, e));
         let new = entries.iter().filter(|e| !known(e)).cloned().map(Update::Set);
@@ -172,13 +178,13 @@
         new.chain(gone).collect()
     }
 
-    /// All targets, those that drain included.
+    /// All targets, including those that are draining.
     pub fn targets(&self) -> impl Iterator<Item = &Arc<Target>> {
         self.targets.values()
     }
 
-    /// When [`Registry::expire`] has something to do next.
-    pub fn wake(&self) -> Option<Ms> {
+    /// When [`Registry::expire`] next has a target to remove.
+    pub fn next_expiry(&self) -> Option<Ms> {
         self.lapsed.values().min().copied()
     }
 
@@ -188,8 +194,8 @@
         match self.targets.get(&id).map(|t| &t.entry) {
             Some(known) if entry.born < known.born => return,
             Some(known) if entry.born == known.born && entry.seq < known.seq => return,
-            // A target never takes its leaving back within one life: a delayed write of an older
-            // state must not bring work to it.
+            // A target never returns from draining within one incarnation: a delayed write of an
+            // older state must not send work to it.
             Some(known) if entry.born == known.born && known.state == TargetState::Draining => {
                 self.lapsed.remove(&id);
                 return;
--- a/crates/catalog/src/residency.rs
+++ b/crates/catalog/src/residency.rs
@@ -1,24 +1,25 @@
-//! Regions in which a request may be served, cached and stored.
+//! The regions in which a request may be served, cached and stored.
 
 use base::RegionId;
 use std::sync::Arc;
 
-/// Where a request may be: what its route and its workspace allow together.
+/// The regions in which a request may be processed: those that its route and its workspace both
+/// allow.
 ///
-/// Computed once when a request is admitted and carried with it and with its stages, so that each
-/// later choice (second sends, resumed streams, stage work passed to another region) asks the same
-/// answer.
+/// Computed once when a request is admitted, and carried with the request and its stages, so that
+/// all later decisions (retries, resumed streams, stage work passed to another region) follow the
+/// same restriction.
 #[derive(Clone, Debug, Default, PartialEq, Eq)]
 pub enum Residency {
     /// Any region.
     #[default]
     Anywhere,
-    /// These regions only; an empty list when two declarations exclude each other.
+    /// Only these regions; an empty list if two declarations have no region in common.
     Within(Arc<[RegionId]>),
 }
 
 impl Residency {
-    /// From declared regions; an empty declaration restricts nothing.
+    /// Creates it from declared regions; an empty declaration restricts nothing.
     pub fn declared(regions: impl IntoIterator<Item = RegionId>) -> Self {
         let regions: Arc<[RegionId]> = regions.into_iter().collect();
         match regions.is_empty() {
@@ -27,7 +28,7 @@
         }
     }
 
-    /// What both allow.
+    /// The regions that both allow.
     pub fn intersect(&self, other: &Self) -> Self {
         match (self, other) {
             (Self::Anywhere, limit) | (limit, Self::Anywhere) => limit.clone(),
@@ -45,8 +46,8 @@
         }
     }
 
-    /// Whether a place is allowed whose region may be unknown: an unknown region is none of those
-    /// that are named.
+    /// Whether a location is allowed whose region may be unknown. An unknown region counts as none
+    /// of the named ones.
     pub fn allows_place(&self, region: Option<&RegionId>) -> bool {
         match region {
             Some(region) => self.allows(region),
--- a/crates/catalog/tests/log.rs
+++ b/crates/catalog/tests/log.rs
@@ -1,4 +1,4 @@
-//! What a host tells another that follows it, by the revision that the other holds.
+//! What a host sends to a follower, depending on the revision that the follower has.
 
 use base::Ms;
 use catalog::{ChangeLog, Delta, Entry, TargetState, Update};
@@ -27,13 +27,14 @@
     assert_eq!(log.revision(), Some(15));
     assert_eq!(log.since(15), Delta::Updates(Vec::new()));
     assert_eq!(log.since(12), Delta::Updates(vec![Update::Removed("b".into())]));
-    assert_eq!(log.since(9), Delta::FullList, "what was before the first list isn't known");
+    assert_eq!(log.since(9), Delta::FullList, "changes before the first list aren't known");
 }
 
-// A follower drops a target that runs, and its connections: it is told of the removal of the
-// target's earlier life although the target is back. Only the last change of each is told.
+// Guards against a follower that drops a running target and its connections because it is sent the
+// removal of the target's earlier incarnation although the target is back. Only the last change of
+// each target is sent.
 #[test]
-fn a_target_that_came_back_is_not_told_as_gone() {
+fn a_target_that_came_back_is_not_sent_as_removed() {
     let mut log = ChangeLog::default();
     log.append(1, Vec::new());
     log.append(2, vec![Update::Removed("a".into())]);
@@ -41,10 +42,11 @@
     assert_eq!(log.since(1), Delta::Updates(vec![Update::Set(entry("a", 2))]));
 }
 
-// Followers never hear of what a list brought to light: lists may be older than what watches have
-// told, and the difference was filed under a revision that all followers are past.
+// Guards against followers that never get the changes found by a list: a list may be older than
+// what watches have delivered, and its changes were logged under a revision that all followers are
+// already past.
 #[test]
-fn what_an_older_list_shows_is_told_as_new() {
+fn changes_found_by_an_older_list_get_the_newest_revision() {
     let mut log = ChangeLog::default();
     log.append(1, Vec::new());
     log.append(9, Vec::new());
@@ -54,7 +56,7 @@
 }
 
 #[test]
-fn a_long_log_forgets_its_beginning_and_says_so() {
+fn a_follower_older_than_the_log_gets_the_full_list() {
     let mut log = ChangeLog::default();
     log.append(0, Vec::new());
     for revision in 1..10_000 {
--- a/crates/catalog/tests/registry.rs
+++ b/crates/catalog/tests/registry.rs
@@ -1,4 +1,4 @@
-//! What follows from what targets register and what an outage removes.
+//! How registrations, removals and outages of the store change the set of known targets.
 
 use base::{Ms, TargetId};
 use catalog::{Entry, LAPSE_GRACE, Observation, Registry, RegistryEvent, TargetState};
@@ -33,7 +33,7 @@
 }
 
 #[test]
-fn a_removal_while_the_store_is_calm_is_believed_at_once() {
+fn a_removal_without_an_outage_takes_effect_at_once() {
     let mut registry = Registry::default();
     registry.apply(Ms(0), list(vec![ready("a"), ready("b")], None));
     let events = registry.apply(Ms(10), Observation::Removed { id: "a".into(), lapse: None });
@@ -41,11 +41,11 @@
     assert_eq!(names(&registry), ["b"]);
 }
 
-// Callers see 503 from every host though all targets run: the store was away for longer than
-// three heartbeats, all registrations lapsed, and the list read on its return is empty.
-// What is missing then is kept until live targets had the time to register again.
+// Guards against 503 from every host although all targets are running: the store was unavailable
+// for longer than three heartbeats, all registrations expired, and the list read on its return is
+// empty. Missing targets are kept until live ones have had time to register again.
 #[test]
-fn targets_that_lapsed_in_an_outage_are_kept_until_they_could_be_back() {
+fn targets_that_expired_in_an_outage_are_kept_until_they_can_register_again() {
     let mut registry = Registry::default();
     registry.apply(Ms(0), list(vec![ready("a"), ready("b")], None));
     let back = Ms(10_000);
@@ -58,12 +58,12 @@
     assert_eq!(names(&registry), ["a"]);
 }
 
-// A target that left gets requests for five seconds: the host lost the store for a moment, was
-// back, and three seconds later the target's entry was removed. The host still took removals for
-// lapses, and kept the target for another two and a half seconds.
-// The time for lapses is counted from the store's return, whenever the removal is seen.
+// Guards against five seconds of requests to a target that has left: the host lost the store for a
+// moment, and three seconds after its return the target's registration was removed. The host still
+// took the removal for an expiry in the outage, and kept the target for another two and a half
+// seconds. The grace time counts from the store's return, whenever the removal is seen.
 #[test]
-fn a_removal_well_after_an_outage_is_believed_at_once() {
+fn a_removal_well_after_an_outage_takes_effect_at_once() {
     let mut registry = Registry::default();
     registry.apply(Ms(0), list(vec![ready("a")], None));
     let back = Ms(10_000);
@@ -75,7 +75,7 @@
 }
 
 #[test]
-fn a_target_never_takes_its_leaving_back_within_one_life() {
+fn a_draining_target_never_becomes_ready_within_one_incarnation() {
     let mut registry = Registry::default();
     registry.apply(Ms(0), list(vec![entry("a", TargetState::Draining, 5, 1)], None));
     registry.apply(Ms(1), Observation::Entry(entry("a", TargetState::Ready, 6, 1)));
@@ -86,7 +86,7 @@
 }
 
 #[test]
-fn an_older_entry_of_one_life_changes_nothing() {
+fn an_older_registration_changes_nothing() {
     let mut registry = Registry::default();
     registry.apply(Ms(0), list(vec![entry("a", TargetState::Ready, 5, 2)], None));
     assert!(
@@ -103,7 +103,7 @@
 }
 
 #[test]
-fn an_entry_that_can_no_longer_be_read_names_no_target() {
+fn a_registration_that_can_no_longer_be_decoded_removes_its_target() {
     let mut registry = Registry::default();
     registry.apply(Ms(0), list(vec![ready("a"), ready("b")], None));
     registry.apply(Ms(1), Observation::Malformed(TargetId::from("a")));
@@ -114,10 +114,10 @@
     assert!(names(&registry).is_empty());
 }
 
-/// Guards against work for a target that has said that it leaves, after an outage of the store that
-/// kept its entry as it was, took it away, or brought it back.
+/// Guards against work for a target that gave notice that it is leaving, after an outage of the
+/// store that left its registration unchanged, removed it, or brought it back.
 #[test]
-fn a_targets_own_word_that_it_leaves_holds_for_the_rest_of_that_life() {
+fn a_leaving_notice_holds_for_the_rest_of_the_incarnation() {
     let mut registry = Registry::default();
     registry.apply(Ms(0), list(vec![ready("a"), ready("b")], None));
     let events = registry.mark_leaving(Ms(10), &"a".into(), 1);
@@ -128,28 +128,28 @@
     registry.apply(Ms(40), Observation::Removed { id: "a".into(), lapse: None });
     registry.expire(Ms(50));
     registry.apply(Ms(60), Observation::Entry(entry("a", TargetState::Ready, 10, 1)));
-    assert!(!registry.takes_work(&ready("a")), "the same life, back after an outage");
+    assert!(!registry.takes_work(&ready("a")), "the same incarnation, back after an outage");
     let next = entry("a", TargetState::Ready, 1, 2);
     registry.apply(Ms(70), Observation::Entry(next.clone()));
-    assert!(registry.takes_work(&next), "another life");
+    assert!(registry.takes_work(&next), "another incarnation");
     assert!(registry.takes_work(&ready("b")));
 }
 
-/// Guards against the host that reads the store for others keeping an entry's leaving to itself,
-/// because the target had told it before.
+/// Guards against the host that reads the store for others not passing on that a registration is
+/// draining, because the target had already given notice to this host.
 #[test]
-fn what_a_target_says_itself_is_no_part_of_what_the_store_says() {
+fn a_leaving_notice_does_not_hide_a_change_at_the_store() {
     let mut registry = Registry::default();
     registry.apply(Ms(0), list(vec![ready("a")], None));
     registry.mark_leaving(Ms(10), &"a".into(), 1);
     let draining = entry("a", TargetState::Draining, 2, 1);
-    let news = registry.diff(std::slice::from_ref(&draining), &["a".into()]);
-    assert_eq!(news, [catalog::Update::Set(draining)]);
+    let changes = registry.diff(std::slice::from_ref(&draining), &["a".into()]);
+    assert_eq!(changes, [catalog::Update::Set(draining)]);
 }
 
-/// Guards against a list of left targets that only grows.
+/// Guards against leaving notices that accumulate without limit.
 #[test]
-fn the_word_of_a_target_that_is_long_gone_is_forgotten() {
+fn the_leaving_notice_of_a_target_that_is_long_gone_is_forgotten() {
     let mut registry = Registry::default();
     registry.mark_leaving(Ms(0), &"a".into(), 1);
     registry.expire(Ms(599_000));
--- a/crates/catalog/tests/residency.rs
+++ b/crates/catalog/tests/residency.rs
@@ -1,4 +1,4 @@
-//! Which regions a request may be in.
+//! The regions in which a request may be processed.
 
 use base::RegionId;
 use catalog::Residency;
@@ -14,14 +14,14 @@
 }
 
 #[test]
-fn a_route_and_a_workspace_bind_together() {
+fn the_regions_of_a_route_and_a_workspace_intersect() {
     let both = within(&["dakar", "thies"]).intersect(&within(&["thies", "saint-louis"]));
     assert_eq!(both, within(&["thies"]));
     assert_eq!(Residency::Anywhere.intersect(&within(&["thies"])), within(&["thies"]));
     assert_eq!(within(&["thies"]).intersect(&Residency::Anywhere), within(&["thies"]));
 }
 
-/// Guards against two declarations without a common region being read as none at all.
+/// Guards against two declarations without a common region being treated as no restriction.
 #[test]
 fn declarations_that_exclude_each_other_allow_nothing() {
     let none = within(&["dakar"]).intersect(&within(&["thies"]));
@@ -31,9 +31,9 @@
     assert!(!within(&["dakar"]).is_nowhere());
 }
 
-/// Guards against a target of a failure domain that the settings don't name.
+/// Guards against use of a target whose failure domain isn't in the settings.
 #[test]
-fn a_place_of_an_unknown_region_is_none_of_those_that_are_named() {
+fn an_unknown_region_is_allowed_only_without_a_restriction() {
     assert!(!within(&["dakar"]).allows_place(None));
     assert!(Residency::Anywhere.allows_place(None));
 }
--- a/crates/catalog/tests/routes.rs
+++ b/crates/catalog/tests/routes.rs
@@ -1,8 +1,8 @@
-//! Routes, keys and what the age of a proof allows.
+//! Route lookup, API keys and the permitted age of a proof.
 
 use base::Ms;
 use catalog::{
-    Backend, Catalog, CatalogError, Freshness, KEY_PROOF_SHARE, Limits, Proof, Residency,
+    Backend, Catalog, CatalogError, Freshness, KEY_PROOF_PERCENT, Limits, Proof, Residency,
     RetrySafety, Route, Stage, Workspace,
 };
 use std::collections::HashMap;
@@ -34,7 +34,7 @@
 }
 
 #[test]
-fn the_longest_prefix_of_the_host_wins() {
+fn the_longest_prefix_of_the_host_name_wins() {
     let routes = vec![
         route("short", "a.example", "/x/"),
         route("long", "a.example", "/x/y/"),
@@ -50,19 +50,19 @@
 }
 
 #[test]
-fn declarations_without_sense_are_refused_by_name() {
+fn invalid_declarations_are_refused_with_the_name_of_the_route() {
     let no_slash = route("r", "a", "/x");
     assert_eq!(catalog(vec![no_slash]).unwrap_err(), CatalogError::Prefix("r".into()));
-    let mut circle = route("r", "a", "/x/");
-    circle.stages = vec![Stage { service: "s".into(), after: vec![0], bytes: 0 }];
-    assert_eq!(catalog(vec![circle]).unwrap_err(), CatalogError::StageOrder("r".into()));
-    let mut nowhere = route("r", "a", "/x/");
-    nowhere.backends.clear();
-    assert_eq!(catalog(vec![nowhere]).unwrap_err(), CatalogError::NoBackend("r".into()));
+    let mut cyclic = route("r", "a", "/x/");
+    cyclic.stages = vec![Stage { service: "s".into(), after: vec![0], bytes: 0 }];
+    assert_eq!(catalog(vec![cyclic]).unwrap_err(), CatalogError::StageOrder("r".into()));
+    let mut no_backend = route("r", "a", "/x/");
+    no_backend.backends.clear();
+    assert_eq!(catalog(vec![no_backend]).unwrap_err(), CatalogError::NoBackend("r".into()));
 }
 
 #[test]
-fn requests_spread_over_backends_by_weight() {
+fn requests_are_distributed_over_backends_by_weight() {
     let mut route = route("r", "a", "/x/");
     route.backends = vec![
         Backend { service: "old".into(), weight: 90 },
@@ -73,22 +73,21 @@
 }
 
 #[test]
-fn only_stages_that_nobody_reads_go_to_the_engine() {
+fn only_stages_that_no_other_stage_reads_go_to_the_engine() {
     let mut route = route("r", "a", "/x/");
     let stage = |after| Stage { service: "s".into(), after, bytes: 0 };
     route.stages = vec![stage(vec![]), stage(vec![]), stage(vec![1])];
     assert_eq!(route.last_stages().collect::<Vec<_>>(), [0, 2]);
 }
 
-// A key that was taken away still works: its host was cut off from the store, or stood still, and
-// went on serving from memory.
-// Without a proof that is young enough, no key is served.
+// Guards against a revoked key that still works because its host was cut off from the store, or
+// frozen, and went on serving from memory. Without a recent proof, no key is accepted.
 #[test]
-fn keys_are_served_only_while_the_proof_is_young() {
+fn keys_are_accepted_only_while_the_proof_is_recent() {
     let mut freshness = Freshness::new(Some(Ms(5_000)));
     assert_eq!(freshness.check(Ms(0)), Proof::Stale { age: None });
     freshness.prove(Ms(1_000));
-    let bound = Ms(5_000).scale(KEY_PROOF_SHARE, 100);
+    let bound = Ms(5_000).scale(KEY_PROOF_PERCENT, 100);
     assert_eq!(freshness.check(Ms(1_000) + bound), Proof::Current);
     let late = Ms(1_001) + bound;
     assert_eq!(freshness.check(late), Proof::Stale { age: Some(bound + Ms(1)) });
@@ -97,7 +96,7 @@
 }
 
 #[test]
-fn without_a_bound_on_revocation_no_proof_is_needed() {
+fn without_a_revocation_limit_no_proof_is_needed() {
     let mut freshness = Freshness::new(None);
     freshness.prove(Ms(1));
     assert_eq!(freshness.check(Ms(1 << 40)), Proof::Current);
