--- a/crates/catalog/src/registry.rs
+++ b/crates/catalog/src/registry.rs
@@ -91,6 +91,7 @@
 #[derive(Debug, Default)]
 pub struct Registry {
     targets: HashMap<TargetId, Arc<Target>>,
+    /// Targets whose registration may have expired in an outage, and until when they are kept.
     lapsed: HashMap<TargetId, Ms>,
     /// Incarnations (by start time) of targets that gave notice that they are leaving, and when.
     leaving: HashMap<TargetId, (u64, Ms)>,
@@ -105,20 +106,20 @@
                 let names: HashSet<TargetId> = names.into_iter().collect();
                 let readable: HashSet<TargetId> = entries.iter().map(|e| e.id.clone()).collect();
                 for entry in entries {
-                    self.take(entry, &mut out);
+                    self.register(entry, &mut out);
                 }
                 let known: Vec<TargetId> = self.targets.keys().cloned().collect();
                 for id in known {
                     match names.contains(&id) {
                         true if readable.contains(&id) => {}
-                        true => self.drop_now(&id, &mut out),
-                        false => self.missing(now, &id, lapse, &mut out),
+                        true => self.remove(&id, &mut out),
+                        false => self.handle_missing(now, &id, lapse, &mut out),
                     }
                 }
             }
-            Observation::Entry(entry) => self.take(entry, &mut out),
-            Observation::Malformed(id) => self.drop_now(&id, &mut out),
-            Observation::Removed { id, lapse } => self.missing(now, &id, lapse, &mut out),
+            Observation::Entry(entry) => self.register(entry, &mut out),
+            Observation::Malformed(id) => self.remove(&id, &mut out),
+            Observation::Removed { id, lapse } => self.handle_missing(now, &id, lapse, &mut out),
         }
         out
     }
@@ -148,7 +149,7 @@
             self.lapsed.iter().filter(|(_, at)| **at <= now).map(|(id, _)| id.clone()).collect();
         let mut out = Vec::new();
         for id in due {
-            self.drop_now(&id, &mut out);
+            self.remove(&id, &mut out);
         }
         let targets = &self.targets;
         self.leaving.retain(|id, (_, at)| targets.contains_key(id) || now - *at < NOTICE_RETENTION);
@@ -188,7 +189,7 @@
         self.lapsed.values().min().copied()
     }
 
-    fn take(&mut self, entry: Entry, out: &mut Vec<RegistryEvent>) {
+    fn register(&mut self, entry: Entry, out: &mut Vec<RegistryEvent>) {
         let id = entry.id.clone();
         let state = entry.state;
         match self.targets.get(&id).map(|t| &t.entry) {
@@ -214,16 +215,22 @@
         self.targets.insert(id, Arc::new(Target { entry }));
     }
 
-    fn missing(&mut self, now: Ms, id: &TargetId, lapse: Option<Ms>, out: &mut Vec<RegistryEvent>) {
+    fn handle_missing(
+        &mut self,
+        now: Ms,
+        id: &TargetId,
+        lapse: Option<Ms>,
+        out: &mut Vec<RegistryEvent>,
+    ) {
         match lapse {
             Some(until) if until > now && self.targets.contains_key(id) => {
                 self.lapsed.entry(id.clone()).or_insert(until);
             }
-            _ => self.drop_now(id, out),
+            _ => self.remove(id, out),
         }
     }
 
-    fn drop_now(&mut self, id: &TargetId, out: &mut Vec<RegistryEvent>) {
+    fn remove(&mut self, id: &TargetId, out: &mut Vec<RegistryEvent>) {
         self.lapsed.remove(id);
         if self.targets.remove(id).is_some() {
             out.push(RegistryEvent::Gone(id.clone()));
