--- a/crates/catalog/src/model.rs
+++ b/crates/catalog/src/model.rs
@@ -63,7 +63,7 @@
     pub prefix: String,
     /// Whether its requests may run more than once.
     pub retry_safety: RetrySafety,
-    /// Longest time that a request may take, ms.
+    /// Longest time for which a host keeps a request, ms.
     pub timeout: Ms,
     /// Time within which a response counts as on time, ms.
     pub latency_goal: Ms,
@@ -80,7 +80,7 @@
     pub stages: Vec<Stage>,
     /// Whether it is served without an API key.
     pub public: bool,
-    /// Regions in which its requests may be processed.
+    /// Regions in which its requests may be served, cached and stored.
     pub residency: Residency,
 }
 
@@ -205,9 +205,9 @@
 pub struct Workspace {
     /// Its name.
     pub name: WorkspaceId,
-    /// Its priority, which replaces the route's.
+    /// Its priority, which replaces the route's if it is set.
     pub priority: Option<u8>,
-    /// Regions in which its requests may be processed.
+    /// Regions in which its requests may be served, cached and stored.
     pub residency: Residency,
 }
 
--- a/crates/catalog/src/residency.rs
+++ b/crates/catalog/src/residency.rs
@@ -3,8 +3,8 @@
 use base::RegionId;
 use std::sync::Arc;
 
-/// The regions in which a request may be processed: those that its route and its workspace both
-/// allow.
+/// The regions in which a request may be served, cached and stored: those that its route and its
+/// workspace both allow.
 ///
 /// Computed once when a request is admitted, and carried with the request and its stages, so that
 /// all later decisions (retries, resumed streams, stage work passed to another region) follow the
--- a/crates/catalog/tests/residency.rs
+++ b/crates/catalog/tests/residency.rs
@@ -1,4 +1,4 @@
-//! The regions in which a request may be processed.
+//! The regions in which a request may be served, cached and stored.
 
 use base::RegionId;
 use catalog::Residency;
