--- a/crates/edge/src/core/store_view.rs
+++ b/crates/edge/src/core/store_view.rs
@@ -2,7 +2,9 @@
 //! host is applied to it.
 
 use base::{Ms, TargetId};
-use catalog::{ChangeLog, Entry, Freshness, Missing, Proof, Registry, RegistryEvent, Seen, Update};
+use catalog::{
+    ChangeLog, Delta, Entry, Freshness, Observation, Proof, Registry, RegistryEvent, Update,
+};
 use logs::note;
 use sched::evacuation::{EvacuationEvent, Evacuations};
 use sched::warmup::LOST_HEARTBEATS;
@@ -178,10 +180,10 @@
     ) {
         let now = self.clock.now();
         let mut view = lock(&self.store);
-        let updates = view.registry.differs(&entries, &names);
+        let updates = view.registry.diff(&entries, &names);
         view.log.append(revision, updates);
         let lapse = view.lapse(now);
-        let events = view.registry.learn(now, Seen::List { entries, names, lapse });
+        let events = view.registry.apply(now, Observation::List { entries, names, lapse });
         self.handle_events(&mut view, events);
     }
 
@@ -193,13 +195,13 @@
         let lapse = view.lapse(now);
         let mut events = Vec::new();
         for update in updates {
-            events.extend(view.registry.learn(now, Seen::update(update, lapse)));
+            events.extend(view.registry.apply(now, Observation::update(update, lapse)));
         }
         self.handle_events(&mut view, events);
     }
 
     /// Changes of targets since `revision`.
-    pub(crate) fn changes_since(&self, revision: u64) -> Missing {
+    pub(crate) fn changes_since(&self, revision: u64) -> Delta {
         lock(&self.store).log.since(revision)
     }
 
@@ -218,7 +220,7 @@
     /// Records that this incarnation of a target has announced that it is leaving.
     pub(crate) fn mark_leaving(&self, entry: &Entry) {
         let mut view = lock(&self.store);
-        let events = view.registry.leaves(self.clock.now(), &entry.id, entry.born);
+        let events = view.registry.mark_leaving(self.clock.now(), &entry.id, entry.born);
         self.handle_events(&mut view, events);
     }
 
--- a/crates/edge/src/relay.rs
+++ b/crates/edge/src/relay.rs
@@ -157,7 +157,7 @@
     }
 
     fn may_resume(&self) -> bool {
-        self.call.route.repeat.is_idempotent() && self.runs < self.call.route.attempts
+        self.call.route.retry_safety.is_idempotent() && self.runs < self.call.route.attempts
     }
 
     /// Number of tokens that an engine keeps of the prompts it has read.
@@ -200,7 +200,7 @@
         if time >= REPORTED_READ_TIME {
             self.core.members.sent(&link.entry.domain, &link.incarnation(), time);
         }
-        let wait = match self.call.route.repeat.is_idempotent() {
+        let wait = match self.call.route.retry_safety.is_idempotent() {
             true if self.runs + 1 < self.call.route.attempts => {
                 left.min(FIRST_EVENT_TIMEOUT + reading)
             }
--- a/crates/edge/src/relay/forward.rs
+++ b/crates/edge/src/relay/forward.rs
@@ -20,7 +20,7 @@
             let Some(open) = &mut self.open else { return Some(Err(Cut)) };
             let now = self.core.clock.now();
             let left = self.call.deadline - now;
-            let resumable = self.call.route.repeat.is_idempotent();
+            let resumable = self.call.route.retry_safety.is_idempotent();
             let wait = if resumable { left.min(STREAM_TIMEOUT) } else { left };
             let frame = tokio::time::timeout(wait.duration(), open.body.frame()).await;
             let fault = match frame {
@@ -69,7 +69,7 @@
         }
         self.first_event = Some(now);
         let route = &self.call.route;
-        self.core.metrics.answered(&route.name, now - self.call.arrived, route.aim);
+        self.core.metrics.answered(&route.name, now - self.call.arrived, route.latency_goal);
     }
 
     /// Records the end of a complete stream.
@@ -78,7 +78,7 @@
         self.core.poison().clear(self.call.fingerprint);
         self.core.metrics.sent(&self.call.route.name, "good");
         let now = self.core.clock.now();
-        let late = self.first_event.unwrap_or(now) - self.call.arrived - self.call.route.aim;
+        let late = self.first_event.unwrap_or(now) - self.call.arrived - self.call.route.latency_goal;
         if let Some(stands_for) = self.core.sample(late > Ms::ZERO) {
             note!(
                 logs::Event::RequestServed,
--- a/crates/edge/src/stages.rs
+++ b/crates/edge/src/stages.rs
@@ -152,7 +152,7 @@
 
     fn log_end(&self, i: usize, fault: Option<StageFault>) {
         let now = self.app.core.clock.now();
-        let due = self.call.arrived + self.call.route.aim - self.remaining[i];
+        let due = self.call.arrived + self.call.route.latency_goal - self.remaining[i];
         let wait = match fault {
             Some(StageFault::Late(wait)) => Some(wait.0),
             _ => None,
@@ -236,8 +236,8 @@
     fn work(&self, i: usize, pieces: u32) -> StageWork {
         let stage = &self.call.route.stages[i];
         let now = self.app.core.clock.now();
-        let due = self.call.arrived + self.call.route.aim - self.remaining[i];
-        let patience = self.call.route.patience.map_or(Ms::MAX, |p| self.call.arrived + p);
+        let due = self.call.arrived + self.call.route.latency_goal - self.remaining[i];
+        let patience = self.call.route.client_timeout.map_or(Ms::MAX, |p| self.call.arrived + p);
         // Keeps the minimum time of the stages after it: an estimate is at most twice the minimum.
         let expires = self.call.deadline.min(patience) - self.remaining[i].scale(1, 2);
         // A call that begins after its inputs have expired can't succeed.
--- a/crates/edge/src/stages/outputs.rs
+++ b/crates/edge/src/stages/outputs.rs
@@ -39,7 +39,7 @@
         if let Some(batch) = batch(self.call, &self.call.route.stages[i].service) {
             // The first piece may have been made several calls before the last one.
             let made = self.started[i].unwrap_or(now).max(now - self.times[i]);
-            self.results_expire[i] = made + batch.keep;
+            self.results_expire[i] = made + batch.result_ttl;
         }
         let service = &self.call.route.stages[i].service;
         if let Some(start) = self.started[i] {
--- a/crates/sched/tests/common/mod.rs
+++ b/crates/sched/tests/common/mod.rs
@@ -16,7 +16,7 @@
 /// results.
 pub fn config() -> Batch {
     let (call_ms, item_ms) = (240.0, 10.0);
-    Batch { slots: 1, size: 8, call_ms, item_ms, room: 100 * KB, keep: Ms(4_000) }
+    Batch { slots: 1, size: 8, call_ms, item_ms, room: 100 * KB, result_ttl: Ms(4_000) }
 }
 
 fn allowance() -> Allowance {
--- a/crates/sched/tests/small.rs
+++ b/crates/sched/tests/small.rs
@@ -2,7 +2,7 @@
 //! retry.
 
 use base::{Ms, PoolId, TargetId};
-use catalog::{Backend, Batch, Repeat, Residency, Route, Stage};
+use catalog::{Backend, Batch, Residency, RetrySafety, Route, Stage};
 use sched::budget::{Allowance, RetryBudget};
 use sched::estimate::Estimate;
 use sched::health::{Health, Outcome};
@@ -115,7 +115,7 @@
 
 fn batch() -> Batch {
     let (call_ms, item_ms) = (240.0, 10.0);
-    Batch { slots: 1, size: 8, call_ms, item_ms, room: 1_000, keep: Ms(4_000) }
+    Batch { slots: 1, size: 8, call_ms, item_ms, room: 1_000, result_ttl: Ms(4_000) }
 }
 
 #[test]
@@ -139,10 +139,10 @@
         name: "r".into(),
         host: "h".into(),
         prefix: "/".into(),
-        repeat: Repeat::StreamOnce,
+        retry_safety: RetrySafety::StreamOnce,
         timeout: Ms(1),
-        aim: Ms(1),
-        patience: None,
+        latency_goal: Ms(1),
+        client_timeout: None,
         priority: 0,
         backends: vec![Backend { service: service(), weight: 1 }],
         attempts: 1,
