--- a/crates/edge/src/accept.rs
+++ b/crates/edge/src/accept.rs
@@ -19,7 +19,7 @@
 use tokio::net::{TcpListener, TcpStream};
 use tokio::task::JoinSet;
 
-use crate::body::{Cut, Out};
+use crate::body::{AnswerBody, Truncated};
 use crate::core::Core;
 use crate::host::App;
 use crate::request;
@@ -233,7 +233,7 @@
     app: Arc<App>,
     activity: Arc<Activity>,
     request: Request<Incoming>,
-) -> Result<Response<Out>, Infallible> {
+) -> Result<Response<AnswerBody>, Infallible> {
     activity.begin();
     let opened = Opened(activity);
     let response = request::handle(app, request).await;
@@ -242,18 +242,18 @@
 
 /// A body that keeps its connection busy until it is sent or dropped.
 struct Counted {
-    body: Out,
+    body: AnswerBody,
     _opened: Opened,
 }
 
 impl Body for Counted {
     type Data = Bytes;
-    type Error = Cut;
+    type Error = Truncated;
 
     fn poll_frame(
         mut self: Pin<&mut Self>,
         cx: &mut Context<'_>,
-    ) -> Poll<Option<Result<Frame<Bytes>, Cut>>> {
+    ) -> Poll<Option<Result<Frame<Bytes>, Truncated>>> {
         Pin::new(&mut self.body).poll_frame(cx)
     }
 
--- a/crates/edge/src/body.rs
+++ b/crates/edge/src/body.rs
@@ -10,12 +10,12 @@
 /// takes what it has for the whole answer.
 #[derive(Clone, Copy, Debug, PartialEq, Eq, Error)]
 #[error("the answer broke off")]
-pub(crate) struct Cut;
+pub(crate) struct Truncated;
 
 /// A body for a caller.
-pub(crate) type Out = UnsyncBoxBody<Bytes, Cut>;
+pub(crate) type AnswerBody = UnsyncBoxBody<Bytes, Truncated>;
 
 /// A whole body.
-pub(crate) fn whole(bytes: impl Into<Bytes>) -> Out {
+pub(crate) fn full_body(bytes: impl Into<Bytes>) -> AnswerBody {
     Full::new(bytes.into()).map_err(|never: Infallible| match never {}).boxed_unsync()
 }
--- a/crates/edge/src/refusal.rs
+++ b/crates/edge/src/refusal.rs
@@ -5,7 +5,7 @@
 use logs::note;
 use serde::Serialize;
 
-use crate::body::{Out, whole};
+use crate::body::{AnswerBody, full_body};
 use crate::core::Core;
 use crate::dialect::AskError;
 use crate::gate::Barrier;
@@ -184,7 +184,7 @@
     reason: Reason,
     targets: usize,
     runs: u32,
-) -> Response<Out> {
+) -> Response<AnswerBody> {
     let now = core.clock.now();
     let left = call.left(now);
     note!(
@@ -203,11 +203,11 @@
 }
 
 /// The answer for a reason. `left` is the time that the caller still has.
-pub(crate) fn refuse(core: &Core, id: &str, reason: Reason, left: Ms) -> Response<Out> {
+pub(crate) fn refuse(core: &Core, id: &str, reason: Reason, left: Ms) -> Response<AnswerBody> {
     let retry = reason.over().map(|over| sched::comeback::retry_after(over, left, core.draw()));
     let problem = Problem { code: reason.name(), detail: reason.detail() };
     // Two strings always serialize.
-    let mut response = Response::new(whole(serde_json::to_vec(&problem).unwrap_or_default()));
+    let mut response = Response::new(full_body(serde_json::to_vec(&problem).unwrap_or_default()));
     *response.status_mut() = reason.status();
     *response.headers_mut() = core.dialect.refusal(id, retry);
     let kind = header::HeaderValue::from_static("application/json");
--- a/crates/edge/src/relay.rs
+++ b/crates/edge/src/relay.rs
@@ -9,7 +9,7 @@
 use sched::health::Outcome;
 use std::sync::Arc;
 
-use crate::body::{Out, whole};
+use crate::body::{AnswerBody, full_body};
 use crate::choose::{Want, choose, source};
 use crate::core::Core;
 use crate::events::EventStream;
@@ -42,7 +42,7 @@
     /// An engine streams.
     Streams(hyper::http::response::Parts),
     /// An engine answered otherwise.
-    Answer(Box<Response<Out>>),
+    Answer(Box<Response<AnswerBody>>),
     /// No engine's answer.
     Refused(Reason),
 }
@@ -101,7 +101,7 @@
     }
 
     /// The caller's answer when no engine streams.
-    pub(crate) fn refuse(&self, reason: Reason) -> Response<Out> {
+    pub(crate) fn refuse(&self, reason: Reason) -> Response<AnswerBody> {
         give_up(&self.core, &self.call, reason, self.tried.len(), self.runs)
     }
 
@@ -267,7 +267,7 @@
         let read = tokio::time::timeout(left.duration(), link::read(body, ERROR_BYTES));
         let Ok(Ok(body)) = read.await else { return Sent::Lost };
         lease.close();
-        let mut response = Response::new(whole(body));
+        let mut response = Response::new(full_body(body));
         *response.status_mut() = parts.status;
         *response.headers_mut() = self.core.dialect.back(&parts.headers);
         Sent::Answer(Box::new(response))
@@ -292,7 +292,7 @@
 /// What came of one send.
 enum Sent {
     Streams(Box<hyper::http::response::Parts>),
-    Answer(Box<Response<Out>>),
+    Answer(Box<Response<AnswerBody>>),
     NotRun,
     /// Not run: its inputs are gone.
     Gone,
--- a/crates/edge/src/relay/forward.rs
+++ b/crates/edge/src/relay/forward.rs
@@ -7,16 +7,16 @@
 use sched::health::Outcome;
 
 use super::{Relay, SILENCE, Sent};
-use crate::body::Cut;
+use crate::body::Truncated;
 use crate::events::Taken;
 use crate::send::SendFault;
 use crate::subjects;
 
 impl Relay {
     /// The next events; none at the end.
-    pub(crate) async fn next(&mut self) -> Option<Result<Bytes, Cut>> {
+    pub(crate) async fn next(&mut self) -> Option<Result<Bytes, Truncated>> {
         loop {
-            let Some(open) = &mut self.open else { return Some(Err(Cut)) };
+            let Some(open) = &mut self.open else { return Some(Err(Truncated)) };
             let now = self.core.clock.now();
             let left = self.call.deadline - now;
             let resumable = self.call.route.repeat.is_idempotent();
@@ -96,7 +96,7 @@
     }
 
     /// Goes on at another engine after the last whole event.
-    pub(super) async fn resume(&mut self, fault: SendFault) -> Result<(), Cut> {
+    pub(super) async fn resume(&mut self, fault: SendFault) -> Result<(), Truncated> {
         // Dropping the connection first: the engine stops before another goes on.
         if let Some(open) = self.open.take() {
             let outcome = match fault {
@@ -137,6 +137,6 @@
             runs = self.runs,
             left_ms = self.call.left(self.core.clock.now()).0
         );
-        Err(Cut)
+        Err(Truncated)
     }
 }
--- a/crates/edge/src/stream.rs
+++ b/crates/edge/src/stream.rs
@@ -6,7 +6,7 @@
 use hyper::body::Frame;
 use std::sync::Arc;
 
-use crate::body::Out;
+use crate::body::AnswerBody;
 use crate::host::App;
 use crate::refusal::{Reason, give_up};
 use crate::relay::{Relay, Started};
@@ -14,7 +14,7 @@
 use crate::{stages, subjects};
 
 /// Runs it and gives the caller's answer; the events follow as the answer's body.
-pub(crate) async fn run(app: Arc<App>, call: Call) -> Response<Out> {
+pub(crate) async fn run(app: Arc<App>, call: Call) -> Response<AnswerBody> {
     let core = app.core.clone();
     let readers = subjects::ask(&core, &call);
     let done = tokio::select! {
