--- a/crates/edge/src/dialect.rs
+++ b/crates/edge/src/dialect.rs
@@ -21,7 +21,7 @@
 
 /// What a caller asks for, beside method, path and body.
 #[derive(Clone, Debug, Default, PartialEq)]
-pub struct Ask {
+pub struct RequestHead {
     /// The caller's name for this attempt.
     pub id: Arc<str>,
     /// Time that the caller will wait; none when it doesn't say.
@@ -42,7 +42,7 @@
     pub last_event: Option<u64>,
 }
 
-impl Ask {
+impl RequestHead {
     /// The last part of the prompt that other requests share: what the request is about.
     pub fn subject(&self) -> u64 {
         let shared = self.prompt.len().saturating_sub(2);
@@ -63,7 +63,7 @@
 
 /// Why a request can't be read.
 #[derive(Clone, Copy, Debug, PartialEq, Eq, Error)]
-pub enum AskError {
+pub enum RequestHeadError {
     /// It has no name, or more than one.
     #[error("give the request one identifier")]
     Id,
@@ -80,7 +80,7 @@
 
 /// What the system adds to a request on its way to a target.
 #[derive(Clone, Copy, Debug)]
-pub struct Onward<'a> {
+pub struct ForwardFields<'a> {
     /// Time that the target has, ms.
     pub deadline: Ms,
     /// The target that is meant.
@@ -133,11 +133,11 @@
     /// Whether the address belongs to another target now.
     pub moved: bool,
     /// Whether the body is in a coding that nobody asked for.
-    pub coded: bool,
+    pub encoded: bool,
     /// What the target says of itself.
     pub notice: Notice,
     /// Time for which the target keeps the idle connection.
-    pub keep: Option<Ms>,
+    pub keep_alive: Option<Ms>,
 }
 
 /// A call to a stage target.
@@ -154,25 +154,25 @@
 /// How requests, answers and stage calls are written.
 pub trait Dialect: Send + Sync {
     /// Reads a caller's request.
-    fn ask(&self, head: &request::Parts) -> Result<Ask, AskError>;
+    fn parse_request(&self, head: &request::Parts) -> Result<RequestHead, RequestHeadError>;
 
     /// Headers for the target: the caller's, less what is the system's to set, plus `onward`.
-    fn onward(&self, caller: &HeaderMap, onward: &Onward<'_>) -> HeaderMap;
+    fn forward_headers(&self, caller: &HeaderMap, onward: &ForwardFields<'_>) -> HeaderMap;
 
     /// Reads the head of a target's answer to the request `id`.
-    fn answer(&self, head: &response::Parts, id: &str) -> AnswerHead;
+    fn parse_answer(&self, head: &response::Parts, id: &str) -> AnswerHead;
 
     /// Headers of a target's answer that the caller gets.
-    fn back(&self, target: &HeaderMap) -> HeaderMap;
+    fn answer_headers(&self, target: &HeaderMap) -> HeaderMap;
 
     /// Headers of an answer of the system's own.
-    fn refusal(&self, id: &str, retry_after: Option<Ms>) -> HeaderMap;
+    fn refusal_headers(&self, id: &str, retry_after: Option<Ms>) -> HeaderMap;
 
     /// A call to a stage target.
     fn stage_call(&self, call: &StageCall<'_>) -> Request<Bytes>;
 
     /// What came of a stage call.
-    fn stage_end(&self, status: StatusCode, head: &AnswerHead, body: &[u8]) -> CallEnd;
+    fn parse_stage_answer(&self, status: StatusCode, head: &AnswerHead, body: &[u8]) -> CallEnd;
 
     /// A call that gives results up.
     fn stage_free(&self, target: &str, handles: &[String]) -> Request<Bytes>;
--- a/crates/edge/src/lib.rs
+++ b/crates/edge/src/lib.rs
@@ -47,7 +47,8 @@
 mod tell;
 
 pub use dialect::{
-    AnswerHead, Ask, AskError, Dialect, Load, Notice, Onward, PromptPart, StageCall,
+    AnswerHead, Dialect, ForwardFields, Load, Notice, PromptPart, RequestHead, RequestHeadError,
+    StageCall,
 };
 pub use directory::{
     Change, Declared, Directory, DirectoryError, Kind, Page, Record, RecordBody, Revision, Updates,
--- a/crates/edge/src/plain.rs
+++ b/crates/edge/src/plain.rs
@@ -12,7 +12,7 @@
 use crate::body::{AnswerBody, full_body};
 use crate::choose::{Want, choose};
 use crate::core::Core;
-use crate::dialect::Onward;
+use crate::dialect::ForwardFields;
 use crate::links::Link;
 use crate::refusal::{Reason, give_up};
 use crate::request::Call;
@@ -98,7 +98,7 @@
     let now = core.clock.now();
     note!(
         logs::Event::FailurePassedOn,
-        request = %call.ask.id,
+        request = %call.head.id,
         route = %call.route.name,
         target = target.name(),
         status = response.status().as_u16(),
@@ -110,8 +110,8 @@
 
 async fn once(core: &Core, call: &Call, link: &Arc<Link>, wait: Ms) -> Tried {
     let begun = core.clock.now();
-    let build = || call.onward(headers(core, call, link, &[], call.ask.last_event, None));
-    let result = send(core, link, &call.ask.id, wait, build).await;
+    let build = || call.target_request(headers(core, call, link, &[], call.head.last_event, None));
+    let result = send(core, link, &call.head.id, wait, build).await;
     let answered = match result {
         Ok(answered) => answered,
         Err(fault) => return lost(core, call, link, fault),
@@ -130,7 +130,7 @@
     };
     let now = core.clock.now();
     let status = parts.status;
-    let sound = !status.is_success() || (head.signed && !head.coded);
+    let sound = !status.is_success() || (head.signed && !head.encoded);
     if !sound {
         link.record(now, Outcome::Broken);
         return lost(core, call, link, SendFault::Mismatch);
@@ -149,7 +149,7 @@
     if let Some(stands_for) = core.sample(late > Ms::ZERO) {
         note!(
             logs::Event::RequestServed,
-            request = %call.ask.id,
+            request = %call.head.id,
             route = %call.route.name,
             version = call.catalog.version,
             target = link.name(),
@@ -174,7 +174,7 @@
 fn lost(core: &Core, call: &Call, link: &Link, fault: SendFault) -> Tried {
     note!(
         logs::Event::AttemptFailed,
-        request = %call.ask.id,
+        request = %call.head.id,
         target = link.name(),
         fault = fault.name(),
         left_ms = call.left(core.clock.now()).0
@@ -210,7 +210,7 @@
     last_event: Option<u64>,
     fetch: Option<SocketAddr>,
 ) -> HeaderMap {
-    let onward = Onward {
+    let onward = ForwardFields {
         deadline: call.left(core.clock.now()),
         target: link.name(),
         workspace: call.workspace.as_ref().map(|w| w.name.as_str()),
@@ -218,12 +218,12 @@
         last_event,
         fetch,
     };
-    core.dialect.onward(&call.parts.headers, &onward)
+    core.dialect.forward_headers(&call.parts.headers, &onward)
 }
 
 fn answer(core: &Core, parts: &Parts, body: Bytes) -> Response<AnswerBody> {
     let mut response = Response::new(full_body(body));
     *response.status_mut() = parts.status;
-    *response.headers_mut() = core.dialect.back(&parts.headers);
+    *response.headers_mut() = core.dialect.answer_headers(&parts.headers);
     response
 }
--- a/crates/edge/src/refusal.rs
+++ b/crates/edge/src/refusal.rs
@@ -7,7 +7,7 @@
 
 use crate::body::{AnswerBody, full_body};
 use crate::core::Core;
-use crate::dialect::AskError;
+use crate::dialect::RequestHeadError;
 use crate::gate::Barrier;
 use crate::request::Call;
 
@@ -18,7 +18,7 @@
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 pub(crate) enum Reason {
     /// It can't be read.
-    Unreadable(AskError),
+    Unreadable(RequestHeadError),
     /// Its body is larger than allowed.
     TooLarge,
     /// Its body did not come whole.
@@ -189,7 +189,7 @@
     let left = call.left(now);
     note!(
         logs::Event::RequestRefused,
-        request = %call.ask.id,
+        request = %call.head.id,
         route = %call.route.name,
         reason = reason.name(),
         version = call.catalog.version,
@@ -199,7 +199,7 @@
         runs
     );
     core.metrics.refused(reason.name());
-    refuse(core, &call.ask.id, reason, left)
+    refuse(core, &call.head.id, reason, left)
 }
 
 /// The answer for a reason. `left` is the time that the caller still has.
@@ -209,7 +209,7 @@
     // Two strings always serialize.
     let mut response = Response::new(full_body(serde_json::to_vec(&problem).unwrap_or_default()));
     *response.status_mut() = reason.status();
-    *response.headers_mut() = core.dialect.refusal(id, retry);
+    *response.headers_mut() = core.dialect.refusal_headers(id, retry);
     let kind = header::HeaderValue::from_static("application/json");
     response.headers_mut().insert(header::CONTENT_TYPE, kind);
     if core.stopping() || reason == Reason::Unproved {
--- a/crates/edge/src/relay.rs
+++ b/crates/edge/src/relay.rs
@@ -90,7 +90,7 @@
             tried: Vec::new(),
             sends: 0,
             runs: 0,
-            events: EventStream::new(call.ask.last_event),
+            events: EventStream::new(call.head.last_event),
             open: None,
             app,
             core,
@@ -165,7 +165,7 @@
     fn copy_time(&self) -> Ms {
         let service = self.call.catalog.service(&self.call.service);
         let engine = service.and_then(|s| s.engine.as_ref());
-        let copy = engine.map_or(0.0, |e| e.copy_ms * self.call.ask.shared_tokens() as f64 / 1e3);
+        let copy = engine.map_or(0.0, |e| e.copy_ms * self.call.head.shared_tokens() as f64 / 1e3);
         Ms(copy as u64)
     }
 
@@ -178,7 +178,7 @@
         {
             return Sent::Barred(Barrier::NoTarget);
         }
-        let subject = self.call.ask.subject();
+        let subject = self.call.head.subject();
         let home = self.results.home().unwrap_or(&self.core.settings().domain).clone();
         let (copy, readers) = (self.copy_time(), self.readers.as_slice());
         let want = Want::Engine { subject, copy, readers, home: &home };
@@ -187,7 +187,7 @@
             Err(barrier) => return Sent::Barred(barrier),
         };
         self.tried.push(link.clone());
-        let tokens = self.call.ask.own_tokens();
+        let tokens = self.call.head.own_tokens();
         let reading = self.core.estimate().first_event(&self.call.service, tokens);
         let time = self.core.estimate().reading(&self.call.service, tokens);
         let alone = link.backlog().wait(now) == Ms::ZERO;
@@ -204,9 +204,9 @@
         let fetch = source(core, call, subject, &self.readers, &link).map(|l| l.entry.addr);
         let build = || {
             self.results.free_soon();
-            call.onward(headers(core, call, &link, inputs, last, fetch))
+            call.target_request(headers(core, call, &link, inputs, last, fetch))
         };
-        let result = send(core, &link, &call.ask.id, wait, build).await;
+        let result = send(core, &link, &call.head.id, wait, build).await;
         self.sends += u32::from(!matches!(result, Err(SendFault::Barred(_))));
         match result {
             Ok(answered) => self.answered(link, now, alone, answered).await,
@@ -233,7 +233,7 @@
         let Answered { head, parts, body, lease } = answered;
         let now = self.core.clock.now();
         if head.inputs_gone {
-            note!(logs::Event::InputsGone, request = %self.call.ask.id, target = link.name());
+            note!(logs::Event::InputsGone, request = %self.call.head.id, target = link.name());
             if self.tried.len() == 1 {
                 self.results.read_late();
             }
@@ -250,7 +250,7 @@
             return Sent::NotRun;
         }
         self.runs += 1;
-        if parts.status.is_success() && head.signed && !head.coded {
+        if parts.status.is_success() && head.signed && !head.encoded {
             self.open = Some(Open { link, lease, body, since, first: true, alone });
             return Sent::Streams(Box::new(parts));
         }
@@ -269,14 +269,14 @@
         lease.close();
         let mut response = Response::new(full_body(body));
         *response.status_mut() = parts.status;
-        *response.headers_mut() = self.core.dialect.back(&parts.headers);
+        *response.headers_mut() = self.core.dialect.answer_headers(&parts.headers);
         Sent::Answer(Box::new(response))
     }
 
     fn lost(&self, link: &Link, fault: SendFault) {
         note!(
             logs::Event::AttemptFailed,
-            request = %self.call.ask.id,
+            request = %self.call.head.id,
             target = link.name(),
             fault = fault.name(),
             last_event = self.events.last(),
@@ -308,7 +308,7 @@
         let now = self.core.clock.now();
         note!(
             logs::Event::StreamLeft,
-            request = %self.call.ask.id,
+            request = %self.call.head.id,
             route = %self.call.route.name,
             target = open.link.name(),
             first_ms = self.first.map(|at| (at - self.call.arrived).0),
--- a/crates/edge/src/relay/forward.rs
+++ b/crates/edge/src/relay/forward.rs
@@ -55,11 +55,11 @@
         let now = self.core.clock.now();
         let took = now - open.since;
         open.link.record(now, Outcome::Good(took));
-        let ask = &self.call.ask;
+        let ask = &self.call.head;
         open.link.subjects().record(ask.subject(), ask.shared_tokens(), memory);
         subjects::tell(&self.core, &self.call, &open.link);
         if open.alone {
-            let tokens = self.call.ask.own_tokens();
+            let tokens = self.call.head.own_tokens();
             self.core.estimate().record_first(&self.call.service, tokens, took);
         }
         if self.first.is_some() {
@@ -80,7 +80,7 @@
         if let Some(stands_for) = self.core.sample(late > Ms::ZERO) {
             note!(
                 logs::Event::RequestServed,
-                request = %self.call.ask.id,
+                request = %self.call.head.id,
                 route = %self.call.route.name,
                 version = self.call.catalog.version,
                 target = open.link.name(),
@@ -121,7 +121,7 @@
                     self.results.free();
                     note!(
                         logs::Event::StreamResumed,
-                        request = %self.call.ask.id,
+                        request = %self.call.head.id,
                         after = self.events.last()
                     );
                     return Ok(());
@@ -132,7 +132,7 @@
         }
         note!(
             logs::Event::StreamCut,
-            request = %self.call.ask.id,
+            request = %self.call.head.id,
             fault = fault.name(),
             runs = self.runs,
             left_ms = self.call.left(self.core.clock.now()).0
--- a/crates/edge/src/request.rs
+++ b/crates/edge/src/request.rs
@@ -13,7 +13,7 @@
 
 use crate::body::AnswerBody;
 use crate::core::Core;
-use crate::dialect::Ask;
+use crate::dialect::RequestHead;
 use crate::host::App;
 use crate::refusal::{Reason, refuse};
 use crate::{plain, stream};
@@ -23,7 +23,7 @@
 
 /// A request that may be served.
 pub(crate) struct Call {
-    pub(crate) ask: Ask,
+    pub(crate) head: RequestHead,
     pub(crate) route: Arc<Route>,
     /// The service that runs it.
     pub(crate) service: PoolId,
@@ -53,7 +53,7 @@
     }
 
     /// Method, path and body for a target, with its headers.
-    pub(crate) fn onward(&self, headers: hyper::HeaderMap) -> Request<Bytes> {
+    pub(crate) fn target_request(&self, headers: hyper::HeaderMap) -> Request<Bytes> {
         let mut request = Request::new(self.body.clone());
         *request.method_mut() = self.parts.method.clone();
         *request.uri_mut() = self.parts.uri.clone();
@@ -69,13 +69,13 @@
     core.open().fetch_add(1, Ordering::Relaxed);
     let _open = Open(app.clone());
     let (parts, body) = request.into_parts();
-    let ask = match core.dialect.ask(&parts) {
-        Ok(ask) => ask,
+    let head = match core.dialect.parse_request(&parts) {
+        Ok(head) => head,
         Err(err) => return refuse(&core, "", Reason::Unreadable(err), Ms::ZERO),
     };
-    let id = ask.id.clone();
+    let id = head.id.clone();
     let waits = Waits { core: core.clone(), request: id.clone(), arrived, answered: false };
-    let mut response = match admit(&app, arrived, ask, parts, body).await {
+    let mut response = match admit(&app, arrived, head, parts, body).await {
         Ok(call) if call.route.repeat.is_stream() => stream::run(app.clone(), call).await,
         Ok(call) => plain::run(&core, &call).await,
         Err((reason, left)) => {
@@ -137,18 +137,18 @@
 async fn admit(
     app: &App,
     arrived: Ms,
-    ask: Ask,
+    head: RequestHead,
     parts: Parts,
     body: Incoming,
 ) -> Result<Call, (Reason, Ms)> {
     let core = &app.core;
-    let asked = ask.deadline.unwrap_or(NO_DEADLINE);
+    let asked = head.deadline.unwrap_or(NO_DEADLINE);
     let refused = |reason| (reason, asked);
     let catalog = core.catalog().ok_or(refused(Reason::NoConfig))?;
     let host = parts.headers.get(header::HOST).and_then(|h| h.to_str().ok());
     let host = host.or(parts.uri.host()).unwrap_or_default();
     let route = catalog.route(host, parts.uri.path()).ok_or(refused(Reason::NoRoute))?.clone();
-    let workspace = match (catalog.needs_keys() && !route.public, &ask.key) {
+    let workspace = match (catalog.needs_keys() && !route.public, &head.key) {
         (false, _) => None,
         (true, _) if core.proof() != Proof::Current => return Err(refused(Reason::Unproved)),
         (true, key) => {
@@ -179,11 +179,11 @@
     if core.poison().is_poison(core.clock.now(), fingerprint) {
         return Err(refused(Reason::Poison));
     }
-    let draw = hash_parts(&[ask.id.as_bytes()]);
+    let draw = hash_parts(&[head.id.as_bytes()]);
     let service = route.backend(draw).ok_or(refused(Reason::NoTarget))?.clone();
     core.budget().request(arrived, &service);
     Ok(Call {
-        ask,
+        head,
         route,
         service,
         catalog: catalog.clone(),
--- a/crates/edge/src/send.rs
+++ b/crates/edge/src/send.rs
@@ -139,12 +139,12 @@
         }
     })?;
     let (parts, body) = response.into_parts();
-    let head = core.dialect.answer(&parts, id);
+    let head = core.dialect.parse_answer(&parts, id);
     if !head.same_request {
         return Err(SendFault::Mismatch);
     }
     notices::take(core, link, &parts, &head);
-    let lease = Lease { link: link.clone(), conn, keep: head.keep, _open: open };
+    let lease = Lease { link: link.clone(), conn, keep: head.keep_alive, _open: open };
     Ok(Answered { head, parts, body, lease })
 }
 
--- a/crates/edge/src/stages.rs
+++ b/crates/edge/src/stages.rs
@@ -79,7 +79,7 @@
             let at = call.route.stages.iter().position(|s| s.service == *service);
             at.map_or(Ms::ZERO, |i| times[i])
         };
-        let first = app.core.estimate().first_event(&call.service, call.ask.own_tokens());
+        let first = app.core.estimate().first_event(&call.service, call.head.own_tokens());
         let after = app.core.estimate().after(&call.route, first, of);
         Self {
             app,
@@ -114,8 +114,8 @@
     /// Time that all stages were expected to take when the request came; none without stages.
     fn expected(&self) -> Option<Ms> {
         let engine =
-            self.app.core.estimate().first_event(&self.call.service, self.call.ask.own_tokens());
-        let pieces = |i: &usize| self.call.ask.pieces.get(*i).is_none_or(|p| *p > 0);
+            self.app.core.estimate().first_event(&self.call.service, self.call.head.own_tokens());
+        let pieces = |i: &usize| self.call.head.pieces.get(*i).is_none_or(|p| *p > 0);
         let made = (0..self.times.len()).filter(pieces);
         made.map(|i| self.times[i] + self.after[i] - engine).max()
     }
@@ -153,10 +153,10 @@
         };
         note!(
             event,
-            request = %self.call.ask.id,
+            request = %self.call.head.id,
             stage = i,
             service = %self.call.route.stages[i].service,
-            pieces = self.call.ask.pieces.get(i).copied().unwrap_or(1),
+            pieces = self.call.head.pieces.get(i).copied().unwrap_or(1),
             fault = fault.map_or("none", StageFault::name),
             took_ms = self.begun[i].map(|begun| (now - begun).0),
             late_ms = (now - due).0,
@@ -175,7 +175,7 @@
         let since = open.iter().filter_map(|i| self.begun[*i]).min();
         note!(
             logs::Event::StagesWithdrawn,
-            request = %self.call.ask.id,
+            request = %self.call.head.id,
             route = %self.call.route.name,
             stages = names.join(","),
             waited_ms = since.map(|at| (now - at).0),
@@ -193,7 +193,7 @@
             if self.done[i].is_some() || self.begun[i].is_some() || !ready {
                 continue;
             }
-            let pieces = self.call.ask.pieces.get(i).copied().unwrap_or(1);
+            let pieces = self.call.head.pieces.get(i).copied().unwrap_or(1);
             if pieces == 0 {
                 self.done[i] = Some(Arc::from([]));
                 // A stage that reads this one may be ready now.
@@ -235,10 +235,10 @@
         let inputs = stage.after.iter().filter_map(|a| self.done[*a].as_ref());
         StageWork {
             service: stage.service.as_str().to_owned(),
-            request: self.call.ask.id.to_string(),
+            request: self.call.head.id.to_string(),
             stage: i as u32,
             pieces,
-            key: self.call.ask.piece_key.as_deref().unwrap_or_default().to_owned(),
+            key: self.call.head.piece_key.as_deref().unwrap_or_default().to_owned(),
             inputs: inputs.flat_map(|h| h.iter().cloned()).collect(),
             due_ms: (due - now).0,
             expires_ms: (expires - now).0,
--- a/crates/edge/src/stages/outputs.rs
+++ b/crates/edge/src/stages/outputs.rs
@@ -71,7 +71,7 @@
     /// were made from was given up when they had read it.
     pub(super) fn redo(&mut self, i: usize) {
         self.redone += 1;
-        note!(logs::Event::StageRedone, request = %self.call.ask.id, stage = i);
+        note!(logs::Event::StageRedone, request = %self.call.head.id, stage = i);
         self.begun[i] = None;
         for before in self.call.route.stages[i].after.clone() {
             self.reset(before);
--- a/crates/edge/src/stages/place.rs
+++ b/crates/edge/src/stages/place.rs
@@ -70,7 +70,7 @@
         let targets = links.of(&self.call.route.stages[i].service).iter();
         let regions = targets.filter_map(|l| settings.region_of(&l.entry.domain));
         // All stages of a request are made in one region, so that results don't cross.
-        let key = self.call.ask.id.as_bytes();
+        let key = self.call.head.id.as_bytes();
         base::rendezvous(key, regions.filter(|r| residency.allows(r)), |r| r.as_str()).cloned()
     }
 }
--- a/crates/edge/src/stream.rs
+++ b/crates/edge/src/stream.rs
@@ -29,7 +29,7 @@
     let mut relay = Relay::new(app, call, results, readers.get().await);
     match relay.start().await {
         Started::Streams(parts) => {
-            let headers = core.dialect.back(&parts.headers);
+            let headers = core.dialect.answer_headers(&parts.headers);
             let body = unfold(Some(relay), |relay| async move {
                 let mut relay = relay?;
                 match relay.next().await {
--- a/crates/edge/src/subjects.rs
+++ b/crates/edge/src/subjects.rs
@@ -40,7 +40,7 @@
 
 /// Whether reading what the prompt shares takes so long that asking pays.
 fn pays(core: &Core, call: &Call) -> bool {
-    let time = core.estimate().reading(&call.service, call.ask.shared_tokens());
+    let time = core.estimate().reading(&call.service, call.head.shared_tokens());
     time > ANSWER_WAIT
 }
 
@@ -49,7 +49,7 @@
     if !pays(core, call) {
         return Readers::Known(Vec::new());
     }
-    let (service, subject) = (call.service.as_str(), call.ask.subject());
+    let (service, subject) = (call.service.as_str(), call.head.subject());
     match core.members.keeper(subject) {
         Some(Owner::Peer { host, addr }) => {
             let query = SubjectQuery { service: service.to_owned(), subject };
@@ -80,7 +80,7 @@
     if !pays(core, call) {
         return;
     }
-    let (service, subject) = (call.service.as_str(), call.ask.subject());
+    let (service, subject) = (call.service.as_str(), call.head.subject());
     let target = link.life();
     match core.members.keeper(subject) {
         Some(Owner::Peer { host, addr }) => {
