--- a/crates/edge/src/events.rs
+++ b/crates/edge/src/events.rs
@@ -11,7 +11,7 @@
 
 /// What came of some bytes.
 #[derive(Clone, Debug, PartialEq, Eq)]
-pub enum Taken {
+pub enum Parsed {
     /// Whole events to pass on; may be empty.
     Events(Bytes),
     /// The events don't go on where the last one ended, or never end.
@@ -47,7 +47,7 @@
     }
 
     /// Takes bytes of the target.
-    pub fn take(&mut self, data: Bytes) -> Taken {
+    pub fn push(&mut self, data: Bytes) -> Parsed {
         let whole = match self.held.is_empty() {
             // Most reads are whole events: they go on without a copy.
             true => self.split(data),
@@ -58,7 +58,7 @@
             }
         };
         if self.held.len() > EVENT_BYTES {
-            return Taken::Broken;
+            return Parsed::Broken;
         }
         self.check(whole)
     }
@@ -71,7 +71,7 @@
         data
     }
 
-    fn check(&mut self, whole: Bytes) -> Taken {
+    fn check(&mut self, whole: Bytes) -> Parsed {
         let (mut from, mut keep) = (0, 0);
         while let Some(len) = end_of_event(&whole[from..]) {
             let id = event_id(&whole[from..from + len]);
@@ -79,15 +79,15 @@
                 // The caller has it already: a run may begin a little earlier.
                 (Some(id), Some(last)) if id <= last => match keep == from {
                     true => keep = from + len,
-                    false => return Taken::Broken,
+                    false => return Parsed::Broken,
                 },
-                (Some(id), Some(last)) if id > last + 1 => return Taken::Broken,
+                (Some(id), Some(last)) if id > last + 1 => return Parsed::Broken,
                 (Some(id), _) => self.last = Some(id),
                 (None, _) => {}
             }
             from += len;
         }
-        Taken::Events(whole.slice(keep..))
+        Parsed::Events(whole.slice(keep..))
     }
 }
 
--- a/crates/edge/src/lib.rs
+++ b/crates/edge/src/lib.rs
@@ -53,6 +53,6 @@
 pub use directory::{
     Change, Declared, Directory, DirectoryError, Kind, Page, Record, RecordBody, Revision, Updates,
 };
-pub use events::{EventStream, Taken};
+pub use events::{EventStream, Parsed};
 pub use host::{Host, HostError, Stopped};
 pub use settings::{Bounds, Settings, SettingsError};
--- a/crates/edge/src/relay/forward.rs
+++ b/crates/edge/src/relay/forward.rs
@@ -8,7 +8,7 @@
 
 use super::{Relay, SILENCE, Sent};
 use crate::body::Truncated;
-use crate::events::Taken;
+use crate::events::Parsed;
 use crate::send::SendFault;
 use crate::subjects;
 
@@ -25,13 +25,13 @@
             let fault = match frame {
                 Ok(Some(Ok(frame))) => {
                     let Ok(data) = frame.into_data() else { continue };
-                    match self.events.take(data) {
-                        Taken::Events(events) if events.is_empty() => continue,
-                        Taken::Events(events) => {
+                    match self.events.push(data) {
+                        Parsed::Events(events) if events.is_empty() => continue,
+                        Parsed::Events(events) => {
                             self.first_event();
                             return Some(Ok(events));
                         }
-                        Taken::Broken => SendFault::Mismatch,
+                        Parsed::Broken => SendFault::Mismatch,
                     }
                 }
                 Ok(None) if !self.events.is_partial() => {
--- a/crates/edge/tests/events.rs
+++ b/crates/edge/tests/events.rs
@@ -1,18 +1,18 @@
 //! Event streams over several runs: nothing missing, twice or torn.
 
 use bytes::Bytes;
-use edge::{EventStream, Taken};
+use edge::{EventStream, Parsed};
 
 fn event(id: u64) -> String {
     format!("id: {id}\ndata: w{id}\n\n")
 }
 
-fn take(stream: &mut EventStream, text: &str) -> Taken {
-    stream.take(Bytes::copy_from_slice(text.as_bytes()))
+fn take(stream: &mut EventStream, text: &str) -> Parsed {
+    stream.push(Bytes::copy_from_slice(text.as_bytes()))
 }
 
-fn events(text: &str) -> Taken {
-    Taken::Events(Bytes::copy_from_slice(text.as_bytes()))
+fn events(text: &str) -> Parsed {
+    Parsed::Events(Bytes::copy_from_slice(text.as_bytes()))
 }
 
 #[test]
@@ -35,8 +35,8 @@
         let mut out = Vec::new();
         for part in [&text[..at], &text[at..]] {
             match take(&mut stream, part) {
-                Taken::Events(bytes) => out.extend_from_slice(&bytes),
-                Taken::Broken => panic!("broken at {at}"),
+                Parsed::Events(bytes) => out.extend_from_slice(&bytes),
+                Parsed::Broken => panic!("broken at {at}"),
             }
         }
         assert_eq!(String::from_utf8(out).unwrap(), text, "split at {at}");
@@ -51,7 +51,7 @@
     take(&mut stream, &(event(1) + &event(2) + "id: 3\nda"));
     stream.restart();
     assert_eq!(take(&mut stream, &(event(2) + &event(3))), events(&event(3)));
-    assert_eq!(take(&mut stream, &event(5)), Taken::Broken);
+    assert_eq!(take(&mut stream, &event(5)), Parsed::Broken);
 }
 
 #[test]
@@ -63,9 +63,9 @@
 #[test]
 fn an_event_without_end_is_broken() {
     let mut stream = EventStream::new(None);
-    let mut last = Taken::Events(Bytes::new());
+    let mut last = Parsed::Events(Bytes::new());
     for _ in 0..20 {
         last = take(&mut stream, &"x".repeat(100_000));
     }
-    assert_eq!(last, Taken::Broken);
+    assert_eq!(last, Parsed::Broken);
 }
