--- a/crates/edge/src/choose.rs
+++ b/crates/edge/src/choose.rs
@@ -5,7 +5,7 @@
 use std::sync::Arc;
 
 use crate::core::Core;
-use crate::gate::{self, Barrier};
+use crate::gate::{self, BlockReason};
 use crate::links::Link;
 use crate::request::Call;
 
@@ -36,12 +36,12 @@
     call: &Call,
     want: Want<'_>,
     tried: &[Arc<Link>],
-) -> Result<Arc<Link>, Barrier> {
+) -> Result<Arc<Link>, BlockReason> {
     let now = core.clock.now();
     let links = core.links();
     let mut barrier = match links.barred(&call.service) {
-        true => Barrier::Evacuated,
-        false => Barrier::NoTarget,
+        true => BlockReason::Evacuated,
+        false => BlockReason::NoTarget,
     };
     let mut open: Vec<&Arc<Link>> = Vec::new();
     for link in links.of(&call.service) {
@@ -49,7 +49,7 @@
             continue;
         }
         if !core.allows(&call.residency, link) {
-            barrier = Barrier::Outside;
+            barrier = BlockReason::Outside;
             continue;
         }
         match gate::check(core, now, link) {
--- a/crates/edge/src/composer/mod.rs
+++ b/crates/edge/src/composer/mod.rs
@@ -21,7 +21,7 @@
 use self::submission::{Submission, Withdraw, begun, ended, pieces};
 use crate::core::{Core, allowance};
 use crate::dialect::StageCall;
-use crate::gate::Barrier;
+use crate::gate::BlockReason;
 use crate::links::Link;
 use crate::send::{SendFault, send};
 
@@ -275,7 +275,7 @@
         };
         let answered = match send(&self.core, &link, OWN_CALL, timeout, build).await {
             Ok(answered) => answered,
-            Err(SendFault::Barred(Barrier::Limited(rest) | Barrier::Paused(rest))) => {
+            Err(SendFault::Barred(BlockReason::Limited(rest) | BlockReason::Paused(rest))) => {
                 return CallEnd::Barred(rest);
             }
             // An evacuated target is taken off the list, a cold one stands a call in a moment.
--- a/crates/edge/src/core/known.rs
+++ b/crates/edge/src/core/known.rs
@@ -104,7 +104,7 @@
                 }
                 EvacuationEvent::Ended(domain) => {
                     note!(logs::Event::EvacuationEnded, domain = %domain);
-                    gate::cool_domain(self, domain);
+                    gate::mark_domain_cold(self, domain);
                 }
             }
         }
--- a/crates/edge/src/gate.rs
+++ b/crates/edge/src/gate.rs
@@ -20,7 +20,7 @@
 
 /// Why no target may get a request.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
-pub(crate) enum Barrier {
+pub(crate) enum BlockReason {
     /// There is none, or all have been tried.
     NoTarget,
     /// None is in a region that the request may be in.
@@ -38,7 +38,7 @@
     Cold(Ms),
 }
 
-impl Barrier {
+impl BlockReason {
     /// Its name in logs.
     pub(crate) const fn name(self) -> &'static str {
         match self {
@@ -82,16 +82,16 @@
 }
 
 /// Whether a target may get a request now.
-pub(crate) fn check(core: &Core, now: Ms, link: &Link) -> Result<(), Barrier> {
+pub(crate) fn check(core: &Core, now: Ms, link: &Link) -> Result<(), BlockReason> {
     if core.links().evacuated(&link.entry.domain) {
-        return Err(Barrier::Evacuated);
+        return Err(BlockReason::Evacuated);
     }
     if link.is_leaving() {
-        return Err(Barrier::Leaving);
+        return Err(BlockReason::Leaving);
     }
     match link.paused(now) {
         Ms::ZERO => {}
-        rest => return Err(Barrier::Paused(rest)),
+        rest => return Err(BlockReason::Paused(rest)),
     }
     check_limit(core, now, link)?;
     let rest = link.warmth().rest(now);
@@ -102,12 +102,12 @@
     let share = share(core, now, link, warmup);
     match link.warmth().open(now, share) {
         true => Ok(()),
-        false => Err(Barrier::Cold(rest)),
+        false => Err(BlockReason::Cold(rest)),
     }
 }
 
 /// The same for a request that is written now; it counts.
-pub(crate) fn pass(core: &Core, link: &Link) -> Result<(), Barrier> {
+pub(crate) fn admit(core: &Core, link: &Link) -> Result<(), BlockReason> {
     let now = core.clock.now();
     check(core, now, link)?;
     link.limit().sent(now);
@@ -115,14 +115,14 @@
     Ok(())
 }
 
-fn check_limit(core: &Core, now: Ms, link: &Link) -> Result<(), Barrier> {
+fn check_limit(core: &Core, now: Ms, link: &Link) -> Result<(), BlockReason> {
     let mut limit = link.limit();
     if let Some(per_second) = limit.unpaced(now) {
         limit.pace(now, interval(core, link, per_second));
     }
     match limit.rest(now) {
         Ms::ZERO => Ok(()),
-        rest => Err(Barrier::Limited(rest)),
+        rest => Err(BlockReason::Limited(rest)),
     }
 }
 
@@ -151,7 +151,7 @@
 }
 
 /// Targets of a failure domain are taken to be cold: its evacuation was taken back.
-pub(crate) fn cool_domain(core: &Core, domain: &base::DomainId) {
+pub(crate) fn mark_domain_cold(core: &Core, domain: &base::DomainId) {
     let now = core.clock.now();
     let links = core.links();
     for link in links.all().filter(|l| l.entry.domain == *domain) {
--- a/crates/edge/src/refusal.rs
+++ b/crates/edge/src/refusal.rs
@@ -8,7 +8,7 @@
 use crate::body::{AnswerBody, full_body};
 use crate::core::Core;
 use crate::dialect::RequestHeadError;
-use crate::gate::Barrier;
+use crate::gate::BlockReason;
 use crate::request::Call;
 
 /// Time after which a caller asks another host that may send more to a target than this one, ms.
@@ -59,15 +59,15 @@
     Timeout,
 }
 
-impl From<Barrier> for Reason {
-    fn from(barrier: Barrier) -> Self {
+impl From<BlockReason> for Reason {
+    fn from(barrier: BlockReason) -> Self {
         match barrier {
-            Barrier::NoTarget | Barrier::Leaving => Self::NoTarget,
-            Barrier::Outside => Self::Outside,
-            Barrier::Evacuated => Self::Evacuated,
-            Barrier::Paused(rest) => Self::Paused(rest),
-            Barrier::Limited(rest) => Self::Limited(rest),
-            Barrier::Cold(rest) => Self::Cold(rest),
+            BlockReason::NoTarget | BlockReason::Leaving => Self::NoTarget,
+            BlockReason::Outside => Self::Outside,
+            BlockReason::Evacuated => Self::Evacuated,
+            BlockReason::Paused(rest) => Self::Paused(rest),
+            BlockReason::Limited(rest) => Self::Limited(rest),
+            BlockReason::Cold(rest) => Self::Cold(rest),
         }
     }
 }
--- a/crates/edge/src/relay.rs
+++ b/crates/edge/src/relay.rs
@@ -13,7 +13,7 @@
 use crate::choose::{Want, choose, source};
 use crate::core::Core;
 use crate::events::EventStream;
-use crate::gate::Barrier;
+use crate::gate::BlockReason;
 use crate::host::App;
 use crate::links::Link;
 use crate::plain::{crashed, headers};
@@ -176,7 +176,7 @@
         if self.tried.len() >= SENDS
             || (!first && !self.core.budget().take(now, &self.call.service))
         {
-            return Sent::Barred(Barrier::NoTarget);
+            return Sent::Barred(BlockReason::NoTarget);
         }
         let subject = self.call.head.subject();
         let home = self.results.home().unwrap_or(&self.core.settings().domain).clone();
@@ -298,7 +298,7 @@
     Gone,
     Lost,
     /// No engine may get it.
-    Barred(Barrier),
+    Barred(BlockReason),
 }
 
 impl Drop for Relay {
--- a/crates/edge/src/send.rs
+++ b/crates/edge/src/send.rs
@@ -12,7 +12,7 @@
 
 use crate::core::Core;
 use crate::dialect::AnswerHead;
-use crate::gate::{self, Barrier};
+use crate::gate::{self, BlockReason};
 use crate::links::{Link, OpenAt};
 use crate::notices;
 
@@ -21,7 +21,7 @@
 pub(crate) enum SendFault {
     /// The target may not get it now: nothing was sent.
     #[error("the target may not get it now: {}", .0.name())]
-    Barred(Barrier),
+    Barred(BlockReason),
     /// No connection: nothing was sent.
     #[error("no connection")]
     NoConnection,
@@ -124,11 +124,11 @@
     let open = link.begin();
     let end = core.clock.now() + wait;
     let mut conn = connect(link, Freshness::Reuse).await?;
-    gate::pass(core, link).map_err(SendFault::Barred)?;
+    gate::admit(core, link).map_err(SendFault::Barred)?;
     let mut result = conn.send(build().map(full), end - core.clock.now()).await;
     if let Err(LinkError::Unsent) = result {
         conn = connect(link, Freshness::New).await?;
-        gate::pass(core, link).map_err(SendFault::Barred)?;
+        gate::admit(core, link).map_err(SendFault::Barred)?;
         result = conn.send(build().map(full), end - core.clock.now()).await;
     }
     let response = result.map_err(|err| match err {
