--- a/crates/edge/src/composer/mod.rs
+++ b/crates/edge/src/composer/mod.rs
@@ -151,7 +151,7 @@
         let near = |region: Option<&RegionId>| region == Some(settings.region());
         let any_near = targets.iter().any(|(_, region)| near(*region));
         let composed = |region: Option<&RegionId>| match region {
-            Some(region) => !self.core.members.composes(&settings, service, region),
+            Some(region) => !self.core.members.peer_composes(&settings, service, region),
             None => !any_near,
         };
         let mine = targets.into_iter().filter(|(_, region)| near(*region) || composed(*region));
--- a/crates/edge/src/members.rs
+++ b/crates/edge/src/members.rs
@@ -56,7 +56,7 @@
 }
 
 /// What is to be told to other hosts.
-pub(crate) struct Told {
+pub(crate) struct Outbox {
     /// Targets that broke under a request.
     pub(crate) crashes: mpsc::UnboundedReceiver<Crash>,
     /// Prompts sent to engines, with the engine's failure domain.
@@ -70,7 +70,7 @@
     pub(crate) async fn start(
         settings: &Settings,
         clock: Arc<dyn Clock>,
-    ) -> std::io::Result<(Self, Node, Told)> {
+    ) -> std::io::Result<(Self, Node, Outbox)> {
         let config = NodeConfig {
             settings: node_settings(settings),
             capacity: (settings.cores * 1000.0) as u32,
@@ -89,7 +89,7 @@
             prompts,
             limits,
         };
-        let told = Told { crashes: crashes_told, prompts: prompts_told, limits: limits_told };
+        let told = Outbox { crashes: crashes_told, prompts: prompts_told, limits: limits_told };
         Ok((members, node, told))
     }
 
@@ -123,7 +123,7 @@
     }
 
     /// The host that keeps what the fleet knows of a subject, or of a request that breaks targets.
-    pub(crate) fn keeper(&self, hash: u64) -> Option<Owner> {
+    pub(crate) fn hash_owner(&self, hash: u64) -> Option<Owner> {
         self.pick(&hash.to_le_bytes(), |_| true)
     }
 
@@ -153,7 +153,7 @@
     }
 
     /// Whether another host composes the calls of a service in a region.
-    pub(crate) fn composes(
+    pub(crate) fn peer_composes(
         &self,
         settings: &Settings,
         service: &PoolId,
@@ -169,7 +169,7 @@
     }
 
     /// A target broke under a request; the other hosts are told.
-    pub(crate) fn crashed(&self, fingerprint: u64, target: &TargetId) {
+    pub(crate) fn queue_crash(&self, fingerprint: u64, target: &TargetId) {
         let crash = Crash { fingerprint, target: target.as_str().to_owned() };
         // The receiver lives as long as the host.
         let _ = self.crashes.send(crash);
@@ -177,42 +177,42 @@
 
     /// A prompt was sent to an engine of `domain` that reads it for `time`; the hosts that choose
     /// among the same engines are told.
-    pub(crate) fn sent(&self, domain: &DomainId, target: &TargetId, time: Ms) {
+    pub(crate) fn queue_prompt(&self, domain: &DomainId, target: &TargetId, time: Ms) {
         let prompt = PromptSent { target: target.as_str().to_owned(), time_ms: time.0 };
         // The receiver lives as long as the host.
         let _ = self.prompts.send((domain.clone(), prompt));
     }
 
     /// A target of `domain` names a limit, or none any more; the hosts that share it are told.
-    pub(crate) fn limited(&self, domain: &DomainId, target: &TargetId, per_second: Option<f64>) {
+    pub(crate) fn queue_limit(&self, domain: &DomainId, target: &TargetId, per_second: Option<f64>) {
         let limit = TargetLimit { target: target.as_str().to_owned(), per_second };
         // The receiver lives as long as the host.
         let _ = self.limits.send((domain.clone(), limit));
     }
 
     /// Tells all others.
-    pub(crate) async fn tell_all(&self, news: HostNews) {
-        self.tell(news, usize::MAX, |_| true).await;
+    pub(crate) async fn notify_all(&self, news: HostNews) {
+        self.notify(news, usize::MAX, |_| true).await;
     }
 
     /// Tells the others of a failure domain.
-    pub(crate) async fn tell_domain(&self, domain: &DomainId, news: HostNews) {
-        self.tell(news, NEAR_TOLD, |h| h.domain == *domain).await;
+    pub(crate) async fn notify_domain(&self, domain: &DomainId, news: HostNews) {
+        self.notify(news, NEAR_TOLD, |h| h.domain == *domain).await;
     }
 
-    async fn tell(&self, news: HostNews, most: usize, fits: impl Fn(&ViewHost) -> bool) {
+    async fn notify(&self, news: HostNews, most: usize, fits: impl Fn(&ViewHost) -> bool) {
         let hosts = self.view.hosts();
         let others: Vec<&ViewHost> =
             hosts.iter().filter(|h| h.host != self.me && fits(h)).collect();
         let told = duty::audience(self.me.as_str(), &others, |h| h.host.as_str(), most);
         for part in told.chunks(TOLD_AT_ONCE) {
-            let calls = part.iter().map(|h| self.tell_one(&h.host, h.address, news.clone()));
+            let calls = part.iter().map(|h| self.notify_one(&h.host, h.address, news.clone()));
             futures::future::join_all(calls).await;
         }
     }
 
     /// Tells one host.
-    pub(crate) async fn tell_one(&self, host: &HostId, addr: SocketAddr, news: HostNews) {
+    pub(crate) async fn notify_one(&self, host: &HostId, addr: SocketAddr, news: HostNews) {
         if let Err(err) = self.peers.news(addr, news).await {
             logs::note!(logs::Event::PeerFailed, host = %host, call = "news", why = %err);
         }
--- a/crates/edge/src/notices.rs
+++ b/crates/edge/src/notices.rs
@@ -36,7 +36,7 @@
 
 fn take_limit(core: &Core, link: &Link, limit: Option<f64>) {
     if hear_limit(core, link, limit).is_some() {
-        core.members.limited(&link.entry.domain, &link.life(), limit);
+        core.members.queue_limit(&link.entry.domain, &link.life(), limit);
     }
 }
 
--- a/crates/edge/src/plain.rs
+++ b/crates/edge/src/plain.rs
@@ -197,7 +197,7 @@
     let life = link.life();
     let news = core.poison().record(now, call.fingerprint, &life);
     if news {
-        core.members.crashed(call.fingerprint, &life);
+        core.members.queue_crash(call.fingerprint, &life);
     }
 }
 
--- a/crates/edge/src/relay.rs
+++ b/crates/edge/src/relay.rs
@@ -193,7 +193,7 @@
         let alone = link.backlog().wait(now) == Ms::ZERO;
         link.backlog().sent(now, time);
         if time >= TOLD {
-            self.core.members.sent(&link.entry.domain, &link.life(), time);
+            self.core.members.queue_prompt(&link.entry.domain, &link.life(), time);
         }
         let wait = match self.call.route.repeat.is_idempotent() {
             true if self.runs + 1 < self.call.route.attempts => left.min(FIRST_SILENCE + reading),
--- a/crates/edge/src/subjects.rs
+++ b/crates/edge/src/subjects.rs
@@ -50,7 +50,7 @@
         return Readers::Known(Vec::new());
     }
     let (service, subject) = (call.service.as_str(), call.head.subject());
-    match core.members.keeper(subject) {
+    match core.members.hash_owner(subject) {
         Some(Owner::Peer { host, addr }) => {
             let query = SubjectQuery { service: service.to_owned(), subject };
             Readers::Asked(tokio::spawn(asked(core.clone(), host, addr, query)))
@@ -82,7 +82,7 @@
     }
     let (service, subject) = (call.service.as_str(), call.head.subject());
     let target = link.life();
-    match core.members.keeper(subject) {
+    match core.members.hash_owner(subject) {
         Some(Owner::Peer { host, addr }) => {
             let (service, target) = (service.to_owned(), target.as_str().to_owned());
             let reads = vec![SubjectRead { service, subject, target }];
--- a/crates/edge/src/tell.rs
+++ b/crates/edge/src/tell.rs
@@ -35,16 +35,16 @@
     let mut counters: BTreeMap<HostId, (SocketAddr, Vec<Crash>)> = BTreeMap::new();
     for crash in counted {
         // Where this host counts itself, it knows already.
-        if let Some(Owner::Peer { host, addr }) = core.members.keeper(crash.fingerprint) {
+        if let Some(Owner::Peer { host, addr }) = core.members.hash_owner(crash.fingerprint) {
             counters.entry(host).or_insert_with(|| (addr, Vec::new())).1.push(crash);
         }
     }
     for (host, (addr, crashes)) in counters {
         let news = HostNews { crashes, ..HostNews::default() };
-        core.members.tell_one(&host, addr, news).await;
+        core.members.notify_one(&host, addr, news).await;
     }
     if !all.is_empty() {
-        core.members.tell_all(HostNews { crashes: all, ..HostNews::default() }).await;
+        core.members.notify_all(HostNews { crashes: all, ..HostNews::default() }).await;
     }
 }
 
@@ -53,7 +53,7 @@
 pub(crate) fn heard(core: &Core, crash: &Crash) {
     let target = crash.target.as_str().into();
     let news = core.poison().record(core.clock.now(), crash.fingerprint, &target);
-    let counts = matches!(core.members.keeper(crash.fingerprint), Some(Owner::Me));
+    let counts = matches!(core.members.hash_owner(crash.fingerprint), Some(Owner::Me));
     let broken = core.poison().broken(crash.fingerprint).to_vec();
     let hosts = core.members.hosts().len();
     if !news || !counts || audience(hosts, broken.len()) == audience(hosts, 1) {
@@ -61,7 +61,7 @@
     }
     // Those that were told to this host alone go out too.
     for target in broken {
-        core.members.crashed(crash.fingerprint, &target);
+        core.members.queue_crash(crash.fingerprint, &target);
     }
 }
 
@@ -73,7 +73,7 @@
     while let Some(prompts) = gather(&mut told, PROMPTS).await {
         for (domain, prompts) in by_domain(prompts) {
             let news = HostNews { prompts, ..HostNews::default() };
-            core.members.tell_domain(&domain, news).await;
+            core.members.notify_domain(&domain, news).await;
         }
     }
 }
@@ -86,7 +86,7 @@
     while let Some(limits) = gather(&mut told, LIMITS).await {
         for (domain, limits) in by_domain(limits) {
             let news = HostNews { limits, ..HostNews::default() };
-            core.members.tell_domain(&domain, news).await;
+            core.members.notify_domain(&domain, news).await;
         }
     }
 }
