--- a/crates/edge/src/composer/serve.rs
+++ b/crates/edge/src/composer/serve.rs
@@ -10,7 +10,7 @@
 };
 
 use super::Composer;
-use crate::{notices, shared, tell};
+use crate::{notices, notify, shared};
 
 /// The composer, for other hosts.
 pub(crate) struct StageService(pub(crate) Arc<Composer>);
@@ -30,11 +30,11 @@
     }
 
     async fn news(&self, news: HostNews) {
-        news.crashes.iter().for_each(|crash| tell::heard(&self.0.core, crash));
+        news.crashes.iter().for_each(|crash| notify::receive_crash(&self.0.core, crash));
         for prompt in news.prompts {
             self.0.core.read_elsewhere(&prompt.target, Ms(prompt.time_ms));
         }
-        news.limits.iter().for_each(|limit| notices::told(&self.0.core, limit));
+        news.limits.iter().for_each(|limit| notices::apply_from_peer(&self.0.core, limit));
         let mut directory = self.0.core.directory();
         for read in news.reads {
             directory.record(&read.service, read.subject, &read.target);
--- a/crates/edge/src/core.rs
+++ b/crates/edge/src/core.rs
@@ -21,9 +21,9 @@
 use crate::directory::Declared;
 use crate::gate::Gate;
 use crate::links::{Link, Links};
+use crate::liveness::LivenessProbes;
 use crate::members::Members;
 use crate::metrics::Metrics;
-use crate::pulse::Pulses;
 use crate::settings::Settings;
 use crate::shared::Packed;
 
@@ -36,7 +36,7 @@
     /// Evacuated failure domains, and who shares what cold targets stand.
     pub(crate) gate: Gate,
     /// Signs of life of the hosts that this one waits for.
-    pub(crate) pulses: Pulses,
+    pub(crate) pulses: LivenessProbes,
     /// Changes when targets or the configuration do.
     pub(crate) moved: watch::Sender<()>,
     settings: ArcSwap<Settings>,
@@ -107,7 +107,7 @@
             metrics,
             members,
             gate: Gate::new(clock.now(), &settings),
-            pulses: Pulses::default(),
+            pulses: LivenessProbes::default(),
             moved: watch::Sender::new(()),
             budget: Mutex::new(Budget::new(allowance(&settings))),
             draws: AtomicU64::new(base::hash_parts(&[
--- a/crates/edge/src/host.rs
+++ b/crates/edge/src/host.rs
@@ -22,7 +22,7 @@
 use crate::members::{self, Members};
 use crate::metrics::Metrics;
 use crate::settings::Settings;
-use crate::{accept, evacuate, follow, reload, source, tell};
+use crate::{accept, evacuate, follow, notify, reload, source};
 
 /// Time for which a stopping host goes on taking requests, ms: the platform asks every second, and
 /// sends nobody any more after two answers that the host isn't ready.
@@ -126,9 +126,9 @@
             tokio::spawn(source::follow(core.clone(), directory)),
             tokio::spawn(reload::follow(core.clone(), path, changed)),
             tokio::spawn(composer.watch_far()),
-            tokio::spawn(tell::crashes(core.clone(), told.crashes)),
-            tokio::spawn(tell::prompts(core.clone(), told.prompts)),
-            tokio::spawn(tell::limits(core.clone(), told.limits)),
+            tokio::spawn(notify::crashes(core.clone(), told.crashes)),
+            tokio::spawn(notify::prompts(core.clone(), told.prompts)),
+            tokio::spawn(notify::limits(core.clone(), told.limits)),
             tokio::spawn(count(core.clone())),
         ];
         let mut side = vec![answers(ready, Ready(core.clone())).await?];
--- a/crates/edge/src/lib.rs
+++ b/crates/edge/src/lib.rs
@@ -25,11 +25,12 @@
 mod gate;
 mod host;
 mod links;
+mod liveness;
 mod members;
 mod metrics;
 mod notices;
+mod notify;
 mod plain;
-mod pulse;
 mod refusal;
 mod relay;
 mod reload;
@@ -44,7 +45,6 @@
 mod stream;
 mod subjects;
 mod submit;
-mod tell;
 
 pub use dialect::{
     AnswerHead, Dialect, ForwardFields, Load, Notice, PromptPart, RequestHead, RequestHeadError,
--- a/crates/edge/src/pulse.rs
+++ b/crates/edge/src/liveness.rs
@@ -19,11 +19,11 @@
 
 /// Asked hosts, as long as somebody waits for them.
 #[derive(Default)]
-pub(crate) struct Pulses {
+pub(crate) struct LivenessProbes {
     asked: Arc<Mutex<HashMap<SocketAddr, watch::Sender<()>>>>,
 }
 
-impl Pulses {
+impl LivenessProbes {
     /// Ends when the host at `addr` missed [`MISSED`] signs of life in a row.
     pub(crate) async fn lost(&self, core: &Arc<Core>, addr: SocketAddr) {
         let mut lost = self.join(core, addr);
--- a/crates/edge/src/notices.rs
+++ b/crates/edge/src/notices.rs
@@ -10,7 +10,7 @@
 use crate::links::Link;
 
 /// Takes what a target said of itself in the head of an answer.
-pub(crate) fn take(core: &Core, link: &Link, parts: &Parts, head: &AnswerHead) {
+pub(crate) fn apply(core: &Core, link: &Link, parts: &Parts, head: &AnswerHead) {
     // Another target's address by now, and its word.
     if head.moved {
         return;
@@ -41,7 +41,7 @@
 }
 
 /// Another host has been told of a limit, or of its end.
-pub(crate) fn told(core: &Core, word: &TargetLimit) {
+pub(crate) fn apply_from_peer(core: &Core, word: &TargetLimit) {
     if let Some(link) = core.life(&word.target) {
         hear_limit(core, &link, word.per_second);
     }
--- a/crates/edge/src/tell.rs
+++ b/crates/edge/src/notify.rs
@@ -50,7 +50,7 @@
 
 /// Another host has told of a crash. Where this one counts the breaks of that request, and they
 /// are enough, all hosts hear of them.
-pub(crate) fn heard(core: &Core, crash: &Crash) {
+pub(crate) fn receive_crash(core: &Core, crash: &Crash) {
     let target = crash.target.as_str().into();
     let news = core.poison().record(core.clock.now(), crash.fingerprint, &target);
     let counts = matches!(core.members.hash_owner(crash.fingerprint), Some(Owner::Me));
--- a/crates/edge/src/plain.rs
+++ b/crates/edge/src/plain.rs
@@ -181,7 +181,7 @@
     );
     core.metrics.sent(&call.route.name, fault.name());
     if fault == SendFault::Broken {
-        crashed(core, call, link);
+        report_crash(core, call, link);
     }
     match fault {
         SendFault::Barred(_) => Tried::Barred,
@@ -192,7 +192,7 @@
 
 /// A target broke its connection while it owed the answer: if the request is to blame, all hosts
 /// must know.
-pub(crate) fn crashed(core: &Core, call: &Call, link: &Link) {
+pub(crate) fn report_crash(core: &Core, call: &Call, link: &Link) {
     let now = core.clock.now();
     let life = link.life();
     let news = core.poison().record(now, call.fingerprint, &life);
--- a/crates/edge/src/relay.rs
+++ b/crates/edge/src/relay.rs
@@ -16,7 +16,7 @@
 use crate::gate::BlockReason;
 use crate::host::App;
 use crate::links::Link;
-use crate::plain::{crashed, headers};
+use crate::plain::{headers, report_crash};
 use crate::refusal::{Reason, give_up};
 use crate::request::Call;
 use crate::results::Results;
@@ -284,7 +284,7 @@
         );
         self.core.metrics.sent(&self.call.route.name, fault.name());
         if fault == SendFault::Broken {
-            crashed(&self.core, &self.call, link);
+            report_crash(&self.core, &self.call, link);
         }
     }
 }
--- a/crates/edge/src/send.rs
+++ b/crates/edge/src/send.rs
@@ -143,7 +143,7 @@
     if !head.same_request {
         return Err(SendFault::Mismatch);
     }
-    notices::take(core, link, &parts, &head);
+    notices::apply(core, link, &parts, &head);
     let lease = Lease { link: link.clone(), conn, keep: head.keep_alive, _open: open };
     Ok(Answered { head, parts, body, lease })
 }
