--- a/crates/edge/src/accept.rs
+++ b/crates/edge/src/accept.rs
@@ -19,7 +19,7 @@
 use tokio::net::{TcpListener, TcpStream};
 use tokio::task::JoinSet;
 
-use crate::body::{AnswerBody, Truncated};
+use crate::body::{ResponseBody, Truncated};
 use crate::core::Core;
 use crate::host::App;
 use crate::request;
@@ -233,7 +233,7 @@
     app: Arc<App>,
     activity: Arc<Activity>,
     request: Request<Incoming>,
-) -> Result<Response<AnswerBody>, Infallible> {
+) -> Result<Response<ResponseBody>, Infallible> {
     activity.begin();
     let opened = Opened(activity);
     let response = request::handle(app, request).await;
@@ -242,7 +242,7 @@
 
 /// A body that keeps its connection busy until it is sent or dropped.
 struct Counted {
-    body: AnswerBody,
+    body: ResponseBody,
     _opened: Opened,
 }
 
--- a/crates/edge/src/body.rs
+++ b/crates/edge/src/body.rs
@@ -13,9 +13,9 @@
 pub(crate) struct Truncated;
 
 /// A body for a caller.
-pub(crate) type AnswerBody = UnsyncBoxBody<Bytes, Truncated>;
+pub(crate) type ResponseBody = UnsyncBoxBody<Bytes, Truncated>;
 
 /// A whole body.
-pub(crate) fn full_body(bytes: impl Into<Bytes>) -> AnswerBody {
+pub(crate) fn full_body(bytes: impl Into<Bytes>) -> ResponseBody {
     Full::new(bytes.into()).map_err(|never: Infallible| match never {}).boxed_unsync()
 }
--- a/crates/edge/src/composer/mod.rs
+++ b/crates/edge/src/composer/mod.rs
@@ -291,7 +291,7 @@
             Err(_) => return CallEnd::Silent,
         };
         answered.lease.close();
-        self.core.dialect.parse_stage_answer(answered.parts.status, &answered.head, &body)
+        self.core.dialect.parse_stage_response(answered.parts.status, &answered.head, &body)
     }
 
     /// Loads of all services that run stages, as this host would compose them.
--- a/crates/edge/src/dialect.rs
+++ b/crates/edge/src/dialect.rs
@@ -121,7 +121,7 @@
 
 /// The head of a target's answer.
 #[derive(Clone, Copy, Debug, Default, PartialEq)]
-pub struct AnswerHead {
+pub struct ResponseHead {
     /// False when it names another request: it isn't the answer to this one.
     pub same_request: bool,
     /// Whether the target signed it.
@@ -160,10 +160,10 @@
     fn forward_headers(&self, caller: &HeaderMap, onward: &ForwardFields<'_>) -> HeaderMap;
 
     /// Reads the head of a target's answer to the request `id`.
-    fn parse_answer(&self, head: &response::Parts, id: &str) -> AnswerHead;
+    fn parse_response(&self, head: &response::Parts, id: &str) -> ResponseHead;
 
     /// Headers of a target's answer that the caller gets.
-    fn answer_headers(&self, target: &HeaderMap) -> HeaderMap;
+    fn response_headers(&self, target: &HeaderMap) -> HeaderMap;
 
     /// Headers of an answer of the system's own.
     fn refusal_headers(&self, id: &str, retry_after: Option<Ms>) -> HeaderMap;
@@ -172,7 +172,7 @@
     fn stage_call(&self, call: &StageCall<'_>) -> Request<Bytes>;
 
     /// What came of a stage call.
-    fn parse_stage_answer(&self, status: StatusCode, head: &AnswerHead, body: &[u8]) -> CallEnd;
+    fn parse_stage_response(&self, status: StatusCode, head: &ResponseHead, body: &[u8]) -> CallEnd;
 
     /// A call that gives results up.
     fn stage_free(&self, target: &str, handles: &[String]) -> Request<Bytes>;
--- a/crates/edge/src/lib.rs
+++ b/crates/edge/src/lib.rs
@@ -47,7 +47,7 @@
 mod submit;
 
 pub use dialect::{
-    AnswerHead, Dialect, ForwardFields, Load, Notice, PromptPart, RequestHead, RequestHeadError,
+    Dialect, ForwardFields, Load, Notice, PromptPart, RequestHead, RequestHeadError, ResponseHead,
     StageCall,
 };
 pub use directory::{
--- a/crates/edge/src/notices.rs
+++ b/crates/edge/src/notices.rs
@@ -6,11 +6,11 @@
 use wire::TargetLimit;
 
 use crate::core::Core;
-use crate::dialect::{AnswerHead, Notice};
+use crate::dialect::{ResponseHead, Notice};
 use crate::links::Link;
 
 /// Takes what a target said of itself in the head of an answer.
-pub(crate) fn apply(core: &Core, link: &Link, parts: &Parts, head: &AnswerHead) {
+pub(crate) fn apply(core: &Core, link: &Link, parts: &Parts, head: &ResponseHead) {
     // Another target's address by now, and its word.
     if head.moved {
         return;
--- a/crates/edge/src/plain.rs
+++ b/crates/edge/src/plain.rs
@@ -9,7 +9,7 @@
 use std::net::SocketAddr;
 use std::sync::Arc;
 
-use crate::body::{AnswerBody, full_body};
+use crate::body::{ResponseBody, full_body};
 use crate::choose::{Want, choose};
 use crate::core::Core;
 use crate::dialect::ForwardFields;
@@ -29,9 +29,9 @@
 /// How one send of it ended.
 enum Tried {
     /// An answer that the caller may have.
-    Whole(Response<AnswerBody>),
+    Whole(Response<ResponseBody>),
     /// The target says that it failed; another may do better.
-    Failed(Response<AnswerBody>),
+    Failed(Response<ResponseBody>),
     /// It was not sent: the target was closed to it by then.
     Barred,
     /// It did not run.
@@ -41,7 +41,7 @@
 }
 
 /// Runs it and gives the caller's answer.
-pub(crate) async fn run(core: &Core, call: &Call) -> Response<AnswerBody> {
+pub(crate) async fn run(core: &Core, call: &Call) -> Response<ResponseBody> {
     let again = call.route.repeat.is_idempotent();
     let mut tried: Vec<Arc<Link>> = Vec::new();
     let (mut sends, mut runs, mut failed) = (0, 0, None);
@@ -94,7 +94,7 @@
     give_up(core, call, reason, tried.len(), runs)
 }
 
-fn passed_on(core: &Core, call: &Call, response: &Response<AnswerBody>, target: &Link, runs: u32) {
+fn passed_on(core: &Core, call: &Call, response: &Response<ResponseBody>, target: &Link, runs: u32) {
     let now = core.clock.now();
     note!(
         logs::Event::FailurePassedOn,
@@ -221,9 +221,9 @@
     core.dialect.forward_headers(&call.parts.headers, &onward)
 }
 
-fn answer(core: &Core, parts: &Parts, body: Bytes) -> Response<AnswerBody> {
+fn answer(core: &Core, parts: &Parts, body: Bytes) -> Response<ResponseBody> {
     let mut response = Response::new(full_body(body));
     *response.status_mut() = parts.status;
-    *response.headers_mut() = core.dialect.answer_headers(&parts.headers);
+    *response.headers_mut() = core.dialect.response_headers(&parts.headers);
     response
 }
--- a/crates/edge/src/refusal.rs
+++ b/crates/edge/src/refusal.rs
@@ -5,7 +5,7 @@
 use logs::note;
 use serde::Serialize;
 
-use crate::body::{AnswerBody, full_body};
+use crate::body::{ResponseBody, full_body};
 use crate::core::Core;
 use crate::dialect::RequestHeadError;
 use crate::gate::BlockReason;
@@ -184,7 +184,7 @@
     reason: Reason,
     targets: usize,
     runs: u32,
-) -> Response<AnswerBody> {
+) -> Response<ResponseBody> {
     let now = core.clock.now();
     let left = call.left(now);
     note!(
@@ -203,7 +203,7 @@
 }
 
 /// The answer for a reason. `left` is the time that the caller still has.
-pub(crate) fn refuse(core: &Core, id: &str, reason: Reason, left: Ms) -> Response<AnswerBody> {
+pub(crate) fn refuse(core: &Core, id: &str, reason: Reason, left: Ms) -> Response<ResponseBody> {
     let retry = reason.over().map(|over| sched::comeback::retry_after(over, left, core.draw()));
     let problem = Problem { code: reason.name(), detail: reason.detail() };
     // Two strings always serialize.
--- a/crates/edge/src/relay.rs
+++ b/crates/edge/src/relay.rs
@@ -9,7 +9,7 @@
 use sched::health::Outcome;
 use std::sync::Arc;
 
-use crate::body::{AnswerBody, full_body};
+use crate::body::{ResponseBody, full_body};
 use crate::choose::{Want, choose, source};
 use crate::core::Core;
 use crate::events::EventStream;
@@ -42,7 +42,7 @@
     /// An engine streams.
     Streams(hyper::http::response::Parts),
     /// An engine answered otherwise.
-    Answer(Box<Response<AnswerBody>>),
+    Answer(Box<Response<ResponseBody>>),
     /// No engine's answer.
     Refused(Reason),
 }
@@ -101,7 +101,7 @@
     }
 
     /// The caller's answer when no engine streams.
-    pub(crate) fn refuse(&self, reason: Reason) -> Response<AnswerBody> {
+    pub(crate) fn refuse(&self, reason: Reason) -> Response<ResponseBody> {
         give_up(&self.core, &self.call, reason, self.tried.len(), self.runs)
     }
 
@@ -269,7 +269,7 @@
         lease.close();
         let mut response = Response::new(full_body(body));
         *response.status_mut() = parts.status;
-        *response.headers_mut() = self.core.dialect.answer_headers(&parts.headers);
+        *response.headers_mut() = self.core.dialect.response_headers(&parts.headers);
         Sent::Answer(Box::new(response))
     }
 
@@ -292,7 +292,7 @@
 /// What came of one send.
 enum Sent {
     Streams(Box<hyper::http::response::Parts>),
-    Answer(Box<Response<AnswerBody>>),
+    Answer(Box<Response<ResponseBody>>),
     NotRun,
     /// Not run: its inputs are gone.
     Gone,
--- a/crates/edge/src/request.rs
+++ b/crates/edge/src/request.rs
@@ -11,7 +11,7 @@
 use std::sync::Arc;
 use std::sync::atomic::Ordering;
 
-use crate::body::AnswerBody;
+use crate::body::ResponseBody;
 use crate::core::Core;
 use crate::dialect::RequestHead;
 use crate::host::App;
@@ -63,7 +63,7 @@
 }
 
 /// Answers a request.
-pub(crate) async fn handle(app: Arc<App>, request: Request<Incoming>) -> Response<AnswerBody> {
+pub(crate) async fn handle(app: Arc<App>, request: Request<Incoming>) -> Response<ResponseBody> {
     let core = app.core.clone();
     let arrived = core.clock.now();
     core.open().fetch_add(1, Ordering::Relaxed);
--- a/crates/edge/src/send.rs
+++ b/crates/edge/src/send.rs
@@ -11,7 +11,7 @@
 use thiserror::Error;
 
 use crate::core::Core;
-use crate::dialect::AnswerHead;
+use crate::dialect::ResponseHead;
 use crate::gate::{self, BlockReason};
 use crate::links::{Link, OpenAt};
 use crate::notices;
@@ -89,7 +89,7 @@
 
 /// A target's answer, its body still to come.
 pub(crate) struct Answered {
-    pub(crate) head: AnswerHead,
+    pub(crate) head: ResponseHead,
     pub(crate) parts: Parts,
     pub(crate) body: Incoming,
     pub(crate) lease: Lease,
@@ -139,7 +139,7 @@
         }
     })?;
     let (parts, body) = response.into_parts();
-    let head = core.dialect.parse_answer(&parts, id);
+    let head = core.dialect.parse_response(&parts, id);
     if !head.same_request {
         return Err(SendFault::Mismatch);
     }
--- a/crates/edge/src/stream.rs
+++ b/crates/edge/src/stream.rs
@@ -6,7 +6,7 @@
 use hyper::body::Frame;
 use std::sync::Arc;
 
-use crate::body::AnswerBody;
+use crate::body::ResponseBody;
 use crate::host::App;
 use crate::refusal::{Reason, give_up};
 use crate::relay::{Relay, Started};
@@ -14,7 +14,7 @@
 use crate::{stages, subjects};
 
 /// Runs it and gives the caller's answer; the events follow as the answer's body.
-pub(crate) async fn run(app: Arc<App>, call: Call) -> Response<AnswerBody> {
+pub(crate) async fn run(app: Arc<App>, call: Call) -> Response<ResponseBody> {
     let core = app.core.clone();
     let readers = subjects::ask(&core, &call);
     let done = tokio::select! {
@@ -29,7 +29,7 @@
     let mut relay = Relay::new(app, call, results, readers.get().await);
     match relay.start().await {
         Started::Streams(parts) => {
-            let headers = core.dialect.answer_headers(&parts.headers);
+            let headers = core.dialect.response_headers(&parts.headers);
             let body = unfold(Some(relay), |relay| async move {
                 let mut relay = relay?;
                 match relay.next().await {
