--- a/crates/edge/src/accept.rs
+++ b/crates/edge/src/accept.rs
@@ -1,4 +1,5 @@
-//! Callers' connections: accepted, bounded, and closed without cutting an answer.
+//! Accepts callers' connections, limits their number and idle time, and closes them without
+//! truncating a response.
 
 use base::{Clock, Ms};
 use bytes::Bytes;
@@ -24,80 +25,86 @@
 use crate::host::App;
 use crate::request;
 
-/// Open connections of callers; more are closed at once. A connection takes about 20 KB, so this
-/// many fit into a small host beside its work.
-const CONNECTIONS: usize = 2_000;
-/// Wait after a failed accept: out of descriptors, trying again at once would spin.
-const ACCEPT_PAUSE: Ms = Ms(10);
-/// Room for a request's head, bytes, whatever the declarations say: the library needs 8 KB.
-const LEAST_HEAD: usize = 8_192;
-/// Longest wait for a closing connection to take its last bytes.
-const CLOSE_WAIT: Ms = Ms::secs(1);
-/// Nothing: no point in time.
-const NONE: u64 = u64::MAX;
+/// Limit of open caller connections; further ones are closed as soon as they are accepted. A
+/// connection takes about 20 KB, so this many fit into the memory of a small host beside its work.
+const MAX_CONNECTIONS: usize = 2_000;
+/// Delay after a failed accept. When the process is out of file descriptors, an immediate retry
+/// would spin.
+const ACCEPT_RETRY_DELAY: Ms = Ms(10);
+/// Smallest buffer for a request head, in bytes, even if the declared limit is lower: hyper needs
+/// 8 KB.
+const MIN_HEAD_BYTES: usize = 8_192;
+/// Time that a connection being closed for idleness has to flush its last bytes.
+const CLOSE_TIMEOUT: Ms = Ms::secs(1);
+/// Stands for "no point in time" in an atomic time stamp.
+const UNSET: u64 = u64::MAX;
 
-/// What a connection does, for the bounds on idleness and slow heads.
+/// Tracks the activity of a connection, for the time-outs of idle connections and slow heads.
 struct Activity {
     clock: Arc<dyn Clock>,
+    /// Number of open requests.
     open: AtomicU64,
-    idle: AtomicU64,
-    head: AtomicU64,
+    /// Time in ms since which no request is open.
+    idle_since: AtomicU64,
+    /// Time in ms at which the first bytes of an unfinished head arrived, or [`UNSET`].
+    head_since: AtomicU64,
 }
 
 impl Activity {
     fn new(clock: Arc<dyn Clock>) -> Self {
-        let idle = AtomicU64::new(clock.now().0);
-        Self { clock, open: AtomicU64::new(0), idle, head: AtomicU64::new(NONE) }
+        let idle_since = AtomicU64::new(clock.now().0);
+        Self { clock, open: AtomicU64::new(0), idle_since, head_since: AtomicU64::new(UNSET) }
     }
 
-    /// Bytes came in.
-    fn read(&self) {
+    /// Records that bytes have arrived.
+    fn on_read(&self) {
         let idle = self.open.load(Ordering::Relaxed) == 0;
-        if idle && self.head.load(Ordering::Relaxed) == NONE {
-            self.head.store(self.clock.now().0, Ordering::Relaxed);
+        if idle && self.head_since.load(Ordering::Relaxed) == UNSET {
+            self.head_since.store(self.clock.now().0, Ordering::Relaxed);
         }
     }
 
-    fn begin(&self) {
+    fn request_started(&self) {
         self.open.fetch_add(1, Ordering::Relaxed);
-        self.head.store(NONE, Ordering::Relaxed);
+        self.head_since.store(UNSET, Ordering::Relaxed);
     }
 
-    fn end(&self) {
+    fn request_ended(&self) {
         self.open.fetch_sub(1, Ordering::Relaxed);
-        self.idle.store(self.clock.now().0, Ordering::Relaxed);
+        self.idle_since.store(self.clock.now().0, Ordering::Relaxed);
     }
 
-    /// Which bound is passed, when one is.
-    fn unused(&self) -> Unused {
-        match self.head.load(Ordering::Relaxed) {
-            NONE => Unused::Idle,
-            _ => Unused::Head,
+    /// Which of the two time-outs applies at the moment.
+    fn timeout_kind(&self) -> Timeout {
+        match self.head_since.load(Ordering::Relaxed) {
+            UNSET => Timeout::Idle,
+            _ => Timeout::Head,
         }
     }
 
-    /// Time until a bound is passed; zero when it is.
-    fn left(&self, idle: Ms, head: Ms) -> Ms {
+    /// Time until the connection has to be checked again; zero when a time-out has passed. With
+    /// requests open no time-out runs, so that is `head_timeout` from now.
+    fn remaining(&self, idle_timeout: Ms, head_timeout: Ms) -> Ms {
         if self.open.load(Ordering::Relaxed) > 0 {
-            return head;
+            return head_timeout;
         }
         let now = self.clock.now();
-        let idle = Ms(self.idle.load(Ordering::Relaxed)) + idle;
-        let end = match self.head.load(Ordering::Relaxed) {
-            NONE => idle,
-            since => Ms(since) + head,
+        let idle_end = Ms(self.idle_since.load(Ordering::Relaxed)) + idle_timeout;
+        let end = match self.head_since.load(Ordering::Relaxed) {
+            UNSET => idle_end,
+            since => Ms(since) + head_timeout,
         };
         end - now
     }
 }
 
-/// A connection that notes when bytes come in.
-struct Watched {
+/// A TCP stream that reports reads to the connection's [`Activity`].
+struct MonitoredStream {
     tcp: TcpStream,
     activity: Arc<Activity>,
 }
 
-impl AsyncRead for Watched {
+impl AsyncRead for MonitoredStream {
     fn poll_read(
         mut self: Pin<&mut Self>,
         cx: &mut Context<'_>,
@@ -106,13 +113,13 @@
         let before = buf.filled().len();
         let polled = Pin::new(&mut self.tcp).poll_read(cx, buf);
         if buf.filled().len() > before {
-            self.activity.read();
+            self.activity.on_read();
         }
         polled
     }
 }
 
-impl AsyncWrite for Watched {
+impl AsyncWrite for MonitoredStream {
     fn poll_write(
         mut self: Pin<&mut Self>,
         cx: &mut Context<'_>,
@@ -142,7 +149,7 @@
     }
 }
 
-/// Serves callers until `stop`, then until all open requests are answered.
+/// Accepts and serves connections until `stop`, then waits until all open requests are answered.
 pub(crate) async fn serve(listener: TcpListener, app: Arc<App>, stop: Stop) {
     let mut open = JoinSet::new();
     loop {
@@ -153,44 +160,46 @@
             accepted = listener.accept() => accepted,
         };
         match accepted {
-            Ok((tcp, _)) if open.len() < CONNECTIONS => {
-                open.spawn(connection(tcp, app.clone(), stop.clone()));
+            Ok((tcp, _)) if open.len() < MAX_CONNECTIONS => {
+                open.spawn(serve_connection(tcp, app.clone(), stop.clone()));
             }
             Ok(_) => app.core.metrics.refused_connection(),
-            Err(_) => tokio::time::sleep(ACCEPT_PAUSE.duration()).await,
+            Err(_) => tokio::time::sleep(ACCEPT_RETRY_DELAY.duration()).await,
         }
     }
     drop(listener);
     while open.join_next().await.is_some() {}
 }
 
-async fn connection(tcp: TcpStream, app: Arc<App>, stop: Stop) {
+async fn serve_connection(tcp: TcpStream, app: Arc<App>, stop: Stop) {
     let core = app.core.clone();
-    // A failure here leaves the connection slower, not wrong.
+    // A failure only makes the connection slower.
     let _ = tcp.set_nodelay(true);
     let activity = Arc::new(Activity::new(core.clock.clone()));
     let limits = core.limits();
-    let io = TokioIo::new(Watched { tcp, activity: activity.clone() });
+    let io = TokioIo::new(MonitoredStream { tcp, activity: activity.clone() });
     let service = {
         let (app, activity) = (app.clone(), activity.clone());
-        service_fn(move |request| answer(app.clone(), activity.clone(), request))
+        service_fn(move |request| handle(app.clone(), activity.clone(), request))
     };
     let conn = http1::Builder::new()
         .timer(TokioTimer::new())
-        // The library's bound would count the idle time between requests as a slow head.
+        // hyper's own time-out would count the idle time between requests as a slow head.
         .header_read_timeout(None)
-        .max_buf_size(limits.header_bytes.max(LEAST_HEAD))
+        .max_buf_size(limits.header_bytes.max(MIN_HEAD_BYTES))
         .serve_connection(io, service);
     let mut conn = std::pin::pin!(conn);
     tokio::select! {
         _ = conn.as_mut() => return,
-        unused = unused(&core, &activity) => match unused {
-            // The library would go on waiting for the rest of the head. No request was read.
-            Unused::Head => return,
-            // Nothing is open: a request that is on its way now was not read, and comes again.
-            Unused::Idle => {
+        timeout = timed_out(&core, &activity) => match timeout {
+            // A graceful shutdown would make hyper wait for the rest of the head. No request has
+            // been read, so nothing is lost.
+            Timeout::Head => return,
+            // No request is open. One that arrives at this moment is not read, and its caller
+            // sends it again.
+            Timeout::Idle => {
                 conn.as_mut().graceful_shutdown();
-                let _ = tokio::time::timeout(CLOSE_WAIT.duration(), conn).await;
+                let _ = tokio::time::timeout(CLOSE_TIMEOUT.duration(), conn).await;
                 return;
             }
         },
@@ -199,54 +208,54 @@
     let _ = conn.await;
 }
 
-/// Why a connection is closed on which no request is open.
-enum Unused {
+/// The time-out by which a connection without open requests is closed.
+enum Timeout {
     /// It was idle for too long.
     Idle,
-    /// A request's head was begun and not finished in time.
+    /// A request head was begun but not completed in time.
     Head,
 }
 
-/// Ends when the connection has been idle, or its head unfinished, for too long.
-async fn unused(core: &Core, activity: &Activity) -> Unused {
+/// Completes when the connection has been idle, or a request head incomplete, for too long.
+async fn timed_out(core: &Core, activity: &Activity) -> Timeout {
     loop {
         let limits = core.limits();
-        let left = activity.left(limits.idle, limits.header);
-        if left == Ms::ZERO {
-            return activity.unused();
+        let remaining = activity.remaining(limits.idle, limits.header);
+        if remaining == Ms::ZERO {
+            return activity.timeout_kind();
         }
-        // A head may begin meanwhile, so look again after its time at the latest.
-        tokio::time::sleep(left.min(limits.header).duration()).await;
+        // A head may begin during the sleep, so check again after the head time-out at the latest.
+        tokio::time::sleep(remaining.min(limits.header).duration()).await;
     }
 }
 
-/// Counts a request as open until its answer is given or dropped.
-struct Opened(Arc<Activity>);
+/// Counts a request as open until its response is sent or dropped.
+struct OpenGuard(Arc<Activity>);
 
-impl Drop for Opened {
+impl Drop for OpenGuard {
     fn drop(&mut self) {
-        self.0.end();
+        self.0.request_ended();
     }
 }
 
-async fn answer(
+async fn handle(
     app: Arc<App>,
     activity: Arc<Activity>,
     request: Request<Incoming>,
 ) -> Result<Response<ResponseBody>, Infallible> {
-    activity.begin();
-    let opened = Opened(activity);
+    activity.request_started();
+    let guard = OpenGuard(activity);
     let response = request::handle(app, request).await;
-    Ok(response.map(|body| Counted { body, _opened: opened }.boxed_unsync()))
+    Ok(response.map(|body| GuardedBody { body, _guard: guard }.boxed_unsync()))
 }
 
-/// A body that keeps its connection busy until it is sent or dropped.
-struct Counted {
+/// A body that keeps its request counted as open until it is sent or dropped.
+struct GuardedBody {
     body: ResponseBody,
-    _opened: Opened,
+    _guard: OpenGuard,
 }
 
-impl Body for Counted {
+impl Body for GuardedBody {
     type Data = Bytes;
     type Error = Truncated;
 
--- a/crates/edge/src/dialect.rs
+++ b/crates/edge/src/dialect.rs
@@ -1,4 +1,5 @@
-//! The border to how callers and targets speak.
+//! The interface to the formats in which callers and targets write requests and responses. The
+//! platform's own headers and bodies are known to the implementation only.
 
 use bytes::Bytes;
 use hyper::http::{request, response};
@@ -13,170 +14,171 @@
 /// One part of a prompt.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 pub struct PromptPart {
-    /// Names its content: prompts that share it have the same.
+    /// Identifies its content: the same in all prompts that share this part.
     pub id: u64,
-    /// Its length, tokens.
+    /// Its length in tokens.
     pub tokens: u64,
 }
 
-/// What a caller asks for, beside method, path and body.
+/// The fields of a caller's request, apart from method, path and body.
 #[derive(Clone, Debug, Default, PartialEq)]
 pub struct RequestHead {
-    /// The caller's name for this attempt.
+    /// The caller's identifier for this attempt.
     pub id: Arc<str>,
-    /// Time that the caller will wait; none when it doesn't say.
+    /// Time for which the caller will wait; none if it isn't given.
     pub deadline: Option<Ms>,
-    /// The caller's key.
+    /// The caller's API key.
     pub key: Option<String>,
-    /// The prompt's parts, the shared ones first.
+    /// The parts of the prompt, those shared with other requests first.
     pub prompt: Vec<PromptPart>,
-    /// Tokens of the whole prompt.
+    /// Length of the whole prompt in tokens.
     pub tokens_in: u64,
-    /// Most tokens of the answer.
+    /// Largest length of the response in tokens.
     pub tokens_out: u64,
-    /// Pieces of each stage; missing ones count as one.
+    /// Number of pieces of each stage; one for a stage that isn't listed.
     pub pieces: Vec<u32>,
-    /// Names the input of stages that read no other stage.
+    /// Identifies the input of stages that read no other stage's results.
     pub piece_key: Option<Arc<str>>,
-    /// The last event of the stream that the caller has.
+    /// Id of the last event of the stream that the caller has received.
     pub last_event: Option<u64>,
 }
 
 impl RequestHead {
-    /// The last part of the prompt that other requests share: what the request is about.
+    /// The subject of the request: the id of the last part of the prompt that other requests share.
     pub fn subject(&self) -> u64 {
         let shared = self.prompt.len().saturating_sub(2);
         self.prompt.get(shared).map_or(0, |part| part.id)
     }
 
-    /// Tokens of the prompt that requests share.
+    /// Number of tokens of the prompt that other requests share.
     pub fn shared_tokens(&self) -> u64 {
         let own = self.prompt.len().saturating_sub(1);
         self.prompt[..own].iter().map(|part| part.tokens).sum()
     }
 
-    /// Tokens of the prompt that no engine has read yet.
+    /// Number of tokens of the prompt that no engine has read yet.
     pub fn own_tokens(&self) -> u64 {
         self.tokens_in.saturating_sub(self.shared_tokens())
     }
 }
 
-/// Why a request can't be read.
+/// Why a request head can't be parsed.
 #[derive(Clone, Copy, Debug, PartialEq, Eq, Error)]
 pub enum RequestHeadError {
-    /// It has no name, or more than one.
+    /// It has no identifier, or more than one.
     #[error("give the request one identifier")]
     Id,
-    /// Its deadline is no number of milliseconds.
+    /// Its deadline is not a number of milliseconds.
     #[error("give the deadline as a whole number of milliseconds")]
     Deadline,
-    /// Its piece counts can't be read.
+    /// Its piece counts can't be parsed.
     #[error("give a number of pieces for each stage")]
     Pieces,
-    /// The last event is no number.
+    /// The id of the last event is not a number.
     #[error("give the last event's id as a whole number")]
     LastEvent,
 }
 
-/// What the system adds to a request on its way to a target.
+/// The fields that the host adds to a request that it forwards to a target.
 #[derive(Clone, Copy, Debug)]
 pub struct ForwardFields<'a> {
-    /// Time that the target has, ms.
+    /// Time that the target has.
     pub deadline: Ms,
-    /// The target that is meant.
+    /// The target that the request is meant for.
     pub target: &'a str,
-    /// Whose request it is.
+    /// The workspace whose request it is.
     pub workspace: Option<&'a str>,
-    /// Handles of the results of its last stages.
+    /// Handles of the results of its last stages, which the target reads.
     pub inputs: &'a [String],
-    /// The last event that the caller has.
+    /// Id of the last event that the caller has received.
     pub last_event: Option<u64>,
-    /// Another engine that keeps what requests about this subject have read.
+    /// Address of another engine that has already read this subject, to copy its memory from.
     pub fetch: Option<SocketAddr>,
 }
 
-/// A target's word on its load.
+/// The load that a target reports.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 pub struct Load {
-    /// Requests it runs.
+    /// Number of running requests.
     pub running: u32,
-    /// Requests that wait.
+    /// Number of queued requests.
     pub waiting: u32,
-    /// Requests that it can run at once.
+    /// Number of requests that it can run at once.
     pub slots: u32,
 }
 
-/// What a target says of itself in an answer.
+/// What a target reports about itself in a response.
 #[derive(Clone, Copy, Debug, Default, PartialEq)]
 pub struct Notice {
     /// Its load.
     pub load: Option<Load>,
-    /// Requests a second that it takes from all hosts together; none where it names no limit.
+    /// Requests per second that it accepts from all hosts together; none if it names no limit.
     pub limit: Option<f64>,
-    /// Whether it is about to leave.
+    /// Whether it is about to shut down.
     pub leaving: bool,
-    /// It has turned the request away, and wants nothing from this host for so long.
+    /// Set if it rejected the request: the time for which this host must send it nothing.
     pub pause: Option<Ms>,
 }
 
-/// The head of a target's answer.
+/// The head of a target's response.
 #[derive(Clone, Copy, Debug, Default, PartialEq)]
 pub struct ResponseHead {
-    /// False when it names another request: it isn't the answer to this one.
+    /// False if it names another request, so that it isn't the response to this one.
     pub same_request: bool,
     /// Whether the target signed it.
     pub signed: bool,
-    /// Whether it says that the target did not run the request.
+    /// Whether the target states that it did not run the request.
     pub not_run: bool,
-    /// Whether it did not run it because inputs are gone.
+    /// Whether the target did not run it because its inputs no longer exist.
     pub inputs_gone: bool,
-    /// Whether the address belongs to another target now.
+    /// Whether the address now belongs to another target.
     pub moved: bool,
-    /// Whether the body is in a coding that nobody asked for.
+    /// Whether the body has a content encoding, which no request asks for.
     pub encoded: bool,
-    /// What the target says of itself.
+    /// What the target reports about itself.
     pub notice: Notice,
-    /// Time for which the target keeps the idle connection.
+    /// Time for which the target keeps the connection open when it is idle.
     pub keep_alive: Option<Ms>,
 }
 
 /// A call to a stage target.
 #[derive(Clone, Debug)]
 pub struct StageCall<'a> {
-    /// The target that is meant.
+    /// The target that the call is meant for.
     pub target: &'a str,
-    /// What to make.
+    /// The pieces to compute.
     pub pieces: &'a [Piece],
-    /// The time now, for what is left to each piece.
+    /// The current time, from which the remaining time of each piece is computed.
     pub now: Ms,
 }
 
-/// How requests, answers and stage calls are written.
+/// Parses and writes requests, responses and stage calls.
 pub trait Dialect: Send + Sync {
-    /// Reads a caller's request.
+    /// Parses the head of a caller's request.
     fn parse_request(&self, head: &request::Parts) -> Result<RequestHead, RequestHeadError>;
 
-    /// Headers for the target: the caller's, less what is the system's to set, plus `onward`.
-    fn forward_headers(&self, caller: &HeaderMap, onward: &ForwardFields<'_>) -> HeaderMap;
+    /// Headers for the target: the caller's, except those that only the system may set, plus
+    /// `fields`.
+    fn forward_headers(&self, caller: &HeaderMap, fields: &ForwardFields<'_>) -> HeaderMap;
 
-    /// Reads the head of a target's answer to the request `id`.
+    /// Parses the head of a target's response to the request `id`.
     fn parse_response(&self, head: &response::Parts, id: &str) -> ResponseHead;
 
-    /// Headers of a target's answer that the caller gets.
+    /// The headers of a target's response that are passed on to the caller.
     fn response_headers(&self, target: &HeaderMap) -> HeaderMap;
 
-    /// Headers of an answer of the system's own.
+    /// Headers of a response by which the host itself refuses a request.
     fn refusal_headers(&self, id: &str, retry_after: Option<Ms>) -> HeaderMap;
 
-    /// A call to a stage target.
+    /// The request of a call to a stage target.
     fn stage_call(&self, call: &StageCall<'_>) -> Request<Bytes>;
 
-    /// What came of a stage call.
+    /// The outcome of a stage call.
     fn parse_stage_response(&self, status: StatusCode, head: &ResponseHead, body: &[u8]) -> CallEnd;
 
-    /// A call that gives results up.
+    /// The request that releases results on a stage target.
     fn stage_free(&self, target: &str, handles: &[String]) -> Request<Bytes>;
 
-    /// Path at which the platform asks whether the host takes requests.
+    /// Path at which the platform checks whether the host is ready for requests.
     fn ready_path(&self) -> &'static str;
 }
--- a/crates/edge/src/evacuate.rs
+++ b/crates/edge/src/evacuate.rs
@@ -1,8 +1,9 @@
-//! Reads which failure domains are evacuated, while this host is one that reads the store; the
-//! others ask it, see [`crate::source`].
+//! Reads from the store which failure domains are evacuated, while this host is one of those that
+//! read the store. The other hosts ask it; see [`crate::source`].
 //!
-//! They are listed again and again: each list proves what is held, which a watch that may be mute
-//! doesn't, and there are hardly ever any.
+//! The evacuations are polled with full lists instead of watched. Each list proves that what this
+//! host holds is current, which a silent watch does not, and the lists are short since evacuations
+//! are rare.
 
 use base::Ms;
 use logs::note;
@@ -10,50 +11,53 @@
 
 use crate::core::Core;
 use crate::directory::{Directory, DirectoryError, Kind, Record, RecordBody};
-use crate::follow::{Pause, list};
+use crate::follow::{Backoff, list};
 
-/// Part of the time in which an evacuation must be in force after which they are listed again,
-/// percent. With it goes a call that gets no answer, and the wait of a host that asks this one.
-const LIST_SHARE: u64 = 40;
+/// Time between two lists, in percent of the time within which an evacuation must be in force. The
+/// rest of that time allows for one call that gets no answer and for the wait of a host that asks
+/// this one.
+const LIST_INTERVAL_PERCENT: u64 = 40;
 
-/// Keeps the evacuated domains current. Does nothing where there are none to be expected.
+/// Keeps the set of evacuated domains current. Returns if the settings have no `evacuate_ms`, since
+/// domains are then never evacuated.
 pub(crate) async fn follow(core: Arc<Core>, directory: Arc<dyn Directory>) {
-    let mut pause = Pause::default();
+    let mut backoff = Backoff::default();
     let mut reading = core.reading();
     loop {
         // The sender lives in `core`, so the wait can't fail.
         let _ = reading.wait_for(|reads| *reads).await;
-        let Some(every) = every(&core) else { return };
-        let rest = match all(&core, directory.as_ref()).await {
+        let Some(interval) = interval(&core) else { return };
+        let delay = match list_all(&core, directory.as_ref()).await {
             Ok(()) => {
-                pause.good();
-                every
+                backoff.succeeded();
+                interval
             }
             Err(err) => {
-                pause.bad(&err, "evacuations");
-                pause.time(core.draw())
+                backoff.failed(&err, "evacuations");
+                backoff.delay(core.draw())
             }
         };
-        tokio::time::sleep(rest.duration()).await;
+        tokio::time::sleep(delay.duration()).await;
     }
 }
 
-/// Lists them once, for a host that follows others and has not heard of them lately.
+/// Lists the evacuations once, for a host that otherwise asks other hosts, if its last proof is
+/// older than the list interval.
 pub(crate) async fn once(core: &Core, directory: &dyn Directory) -> Result<(), DirectoryError> {
     let proved = core.gate.evacuations().proved();
-    match every(core) {
-        Some(every) if proved.is_none_or(|at| core.clock.now() - at > every) => {
-            all(core, directory).await
+    match interval(core) {
+        Some(interval) if proved.is_none_or(|at| core.clock.now() - at > interval) => {
+            list_all(core, directory).await
         }
         _ => Ok(()),
     }
 }
 
-fn every(core: &Core) -> Option<Ms> {
-    core.settings().bounds.evacuate_ms.map(|bound| bound.scale(LIST_SHARE, 100))
+fn interval(core: &Core) -> Option<Ms> {
+    core.settings().bounds.evacuate_ms.map(|bound| bound.scale(LIST_INTERVAL_PERCENT, 100))
 }
 
-async fn all(core: &Core, directory: &dyn Directory) -> Result<(), DirectoryError> {
+async fn list_all(core: &Core, directory: &dyn Directory) -> Result<(), DirectoryError> {
     let sent = core.clock.now();
     let (records, revision) = list(core, directory, Kind::Evacuations).await?;
     let domains = records.into_iter().filter_map(domain).collect();
--- a/crates/edge/src/events.rs
+++ b/crates/edge/src/events.rs
@@ -1,97 +1,102 @@
-//! Event streams: whole events only, in order, none twice.
+//! Splits the event stream of a target into events, and passes on complete events only, in order
+//! and without duplicates.
 //!
-//! A target may stop in the middle of an event. Passed on, the half event would be joined with the
-//! first event of the run that goes on elsewhere, and the caller would read one that nobody sent.
-//! So bytes are held until their event is whole.
+//! A target may fail in the middle of an event. If the partial event were passed on, it would be
+//! joined with the first event of the run that continues at another target, and the caller would
+//! read an event that nobody sent. So bytes are buffered until their event is complete.
 
 use bytes::{Bytes, BytesMut};
 
-/// Largest event, bytes; a target that sends more without an end is taken for broken.
-const EVENT_BYTES: usize = 1 << 20;
+/// Largest event in bytes. A target that sends more without completing an event counts as broken.
+const MAX_EVENT_BYTES: usize = 1 << 20;
 
-/// What came of some bytes.
+/// The result of parsing received bytes.
 #[derive(Clone, Debug, PartialEq, Eq)]
 pub enum Parsed {
-    /// Whole events to pass on; may be empty.
+    /// Complete events to pass on; may be empty.
     Events(Bytes),
-    /// The events don't go on where the last one ended, or never end.
+    /// The event ids leave a gap or are out of order, or an event is too large.
     Broken,
 }
 
-/// The state of one caller's stream, over all runs.
+/// The state of one caller's stream over all its runs. Each run is at one target, which sends a part
+/// of the stream.
 #[derive(Debug, Default)]
 pub struct EventStream {
-    held: BytesMut,
+    /// The start of an incomplete event.
+    partial: BytesMut,
+    /// Id of the last event that was passed on.
     last: Option<u64>,
 }
 
 impl EventStream {
-    /// A stream of which the caller has everything up to `last`.
+    /// A stream of which the caller has received everything up to the event `last`.
     pub fn new(last: Option<u64>) -> Self {
-        Self { held: BytesMut::new(), last }
+        Self { partial: BytesMut::new(), last }
     }
 
-    /// The last whole event that was passed on.
+    /// Id of the last event that was passed on.
     pub fn last(&self) -> Option<u64> {
         self.last
     }
 
-    /// Whether a part of an event is held.
+    /// Whether a part of an event is buffered.
     pub fn is_partial(&self) -> bool {
-        !self.held.is_empty()
+        !self.partial.is_empty()
     }
 
-    /// Another run goes on: what is held of the old one is dropped.
+    /// Begins another run that continues the stream: the partial event of the old one is dropped.
     pub fn restart(&mut self) {
-        self.held.clear();
+        self.partial.clear();
     }
 
-    /// Takes bytes of the target.
+    /// Parses bytes received from the target.
     pub fn push(&mut self, data: Bytes) -> Parsed {
-        let whole = match self.held.is_empty() {
-            // Most reads are whole events: they go on without a copy.
+        let complete = match self.partial.is_empty() {
+            // Most reads hold complete events only; these are passed on without a copy.
             true => self.split(data),
             false => {
-                self.held.extend_from_slice(&data);
-                let all = self.held.split().freeze();
+                self.partial.extend_from_slice(&data);
+                let all = self.partial.split().freeze();
                 self.split(all)
             }
         };
-        if self.held.len() > EVENT_BYTES {
+        if self.partial.len() > MAX_EVENT_BYTES {
             return Parsed::Broken;
         }
-        self.check(whole)
+        self.check(complete)
     }
 
-    /// The whole events at the front; the rest is held.
+    /// Returns the complete events at the front and buffers the rest.
     fn split(&mut self, mut data: Bytes) -> Bytes {
         let end = end_of_events(&data);
         let rest = data.split_off(end);
-        self.held.extend_from_slice(&rest);
+        self.partial.extend_from_slice(&rest);
         data
     }
 
-    fn check(&mut self, whole: Bytes) -> Parsed {
-        let (mut from, mut keep) = (0, 0);
-        while let Some(len) = end_of_event(&whole[from..]) {
-            let id = event_id(&whole[from..from + len]);
+    /// Checks that the ids continue the stream, and drops events that the caller already has.
+    fn check(&mut self, events: Bytes) -> Parsed {
+        let (mut start, mut kept_from) = (0, 0);
+        while let Some(len) = end_of_event(&events[start..]) {
+            let id = event_id(&events[start..start + len]);
             match (id, self.last) {
-                // The caller has it already: a run may begin a little earlier.
-                (Some(id), Some(last)) if id <= last => match keep == from {
-                    true => keep = from + len,
+                // The caller already has this event: a run may begin at an earlier one.
+                (Some(id), Some(last)) if id <= last => match kept_from == start {
+                    true => kept_from = start + len,
                     false => return Parsed::Broken,
                 },
                 (Some(id), Some(last)) if id > last + 1 => return Parsed::Broken,
                 (Some(id), _) => self.last = Some(id),
                 (None, _) => {}
             }
-            from += len;
+            start += len;
         }
-        Parsed::Events(whole.slice(keep..))
+        Parsed::Events(events.slice(kept_from..))
     }
 }
 
-/// Length of the first event, its blank line included.
+/// Length of the first event, including the blank line that ends it.
 fn end_of_event(data: &[u8]) -> Option<usize> {
     let lf = data.windows(2).position(|w| w == b"\n\n").map(|i| i + 2);
     let crlf = data.windows(4).position(|w| w == b"\r\n\r\n").map(|i| i + 4);
@@ -101,7 +106,7 @@
     }
 }
 
-/// Where the last whole event ends.
+/// Offset at which the last complete event ends.
 fn end_of_events(data: &[u8]) -> usize {
     let lf = data.windows(2).rposition(|w| w == b"\n\n").map_or(0, |i| i + 2);
     let crlf = data.windows(4).rposition(|w| w == b"\r\n\r\n").map_or(0, |i| i + 4);
--- a/crates/edge/src/follow.rs
+++ b/crates/edge/src/follow.rs
@@ -1,9 +1,10 @@
-//! Reads what is declared and registered at the platform, while this host is one that reads; the
-//! others ask it, see [`crate::source`].
+//! Reads the configuration and the registered targets from the platform's store, while this host is
+//! one of those that read the store. The other hosts ask it; see [`crate::source`].
 //!
-//! The configuration is read whole again and again: each answer proves that what is held is the
-//! newest, which a watch that says nothing doesn't. Targets are watched, since their list is long
-//! and changes often; a watch that ends early, or a history that is forgotten, means to list again.
+//! The configuration is polled and read as a whole: each response proves that the version in use is
+//! the newest, which a silent watch does not. Targets are watched, since their list is long and
+//! changes often. They are listed again after a watch fails, or when the store no longer has the
+//! history since the last watch.
 
 use base::Ms;
 use catalog::{LAPSE_GRACE, Update};
@@ -16,32 +17,35 @@
 };
 use crate::evacuate;
 
-/// Part of the time in which a change must be in force after which the configuration is read again,
-/// percent: hosts that follow this one notice that its reads fail, and read themselves, in time.
-const READ_SHARE: u64 = 30;
-/// The same of the time after which a key that was taken away must not work, percent: hosts that
-/// follow this one hear of the proof later, and may lose a call.
-const PROOF_SHARE: u64 = 20;
-/// Wait for an answer of the store, ms: sixty times its usual time.
-const SILENCE: Ms = Ms(700);
-/// What is left of the time in which a leaving target must get nothing new when a watch ends, ms:
-/// one that went silent for good is noticed [`SILENCE`] later, and the list read.
-const WATCH_REST: Ms = Ms(1_000);
-/// Longest wait of a watch, ms.
-const WATCH_MOST: Ms = Ms(8_000);
-/// Pause after changes before the next watch, ms. Changes come in groups, when targets are
-/// replaced or register again; without it each is a call.
-const GROUP: Ms = Ms(300);
-/// Pause after a failed call, ms; doubled each time in a row.
-const PAUSE: Ms = Ms(100);
-/// Longest such pause, ms: hosts must be back within a second of the store.
-const PAUSE_MOST: Ms = Ms(500);
-/// Targets are listed anew this often, ms, in case a change was missed.
-const LIST_EVERY: Ms = Ms::secs(15);
+/// Time between two reads of the configuration, in percent of the time within which a change must be
+/// in force. It leaves the hosts that ask this one enough time to notice that its reads fail and to
+/// read the store themselves.
+const READ_INTERVAL_PERCENT: u64 = 30;
+/// Upper bound of the same interval, in percent of the time after which a revoked key must no longer
+/// work. The rest allows for the later arrival of the proof at hosts that ask this one, and for one
+/// lost call.
+const PROOF_INTERVAL_PERCENT: u64 = 20;
+/// Time-out for a response of the store: sixty times its usual response time.
+const STORE_TIMEOUT: Ms = Ms(700);
+/// Time kept back, when a watch ends, of the time after which a draining target must get nothing
+/// new. A watch whose connection is dead is detected [`STORE_TIMEOUT`] after its end, and the list
+/// has to be read then.
+const WATCH_MARGIN: Ms = Ms(1_000);
+/// Longest wait of a watch.
+const MAX_WATCH: Ms = Ms(8_000);
+/// Delay after changes before the next watch. Changes come in groups, when targets are replaced or
+/// register again; without the delay each change would cost a call.
+const CHANGE_BATCH_DELAY: Ms = Ms(300);
+/// Delay after a failed call; doubled after each further failure in a row.
+const BACKOFF: Ms = Ms(100);
+/// Longest such delay: hosts must reach the store again within a second of its return.
+const MAX_BACKOFF: Ms = Ms(500);
+/// Time between two lists of the targets, in case a watch missed a change.
+const LIST_INTERVAL: Ms = Ms::secs(15);
 
 /// Keeps the configuration current.
 pub(crate) async fn catalog(core: Arc<Core>, directory: Arc<dyn Directory>) {
-    let mut pause = Pause::default();
+    let mut backoff = Backoff::default();
     let mut reading = core.reading();
     loop {
         // The sender lives in `core`, so the wait can't fail.
@@ -50,34 +54,34 @@
         core.metrics.store_call("read");
         match read_catalog(directory.as_ref()).await {
             Ok(found) => {
-                pause.good();
+                backoff.succeeded();
                 core.take_catalog(sent, found.as_ref());
-                let rest = read_every(&core) - (core.clock.now() - sent);
-                tokio::time::sleep(rest.duration()).await;
+                let delay = read_interval(&core) - (core.clock.now() - sent);
+                tokio::time::sleep(delay.duration()).await;
             }
             Err(err) => {
-                pause.bad(&err, "catalog");
-                tokio::time::sleep(pause.time(core.draw()).duration()).await;
+                backoff.failed(&err, "catalog");
+                tokio::time::sleep(backoff.delay(core.draw()).duration()).await;
             }
         }
     }
 }
 
-fn read_every(core: &Core) -> Ms {
+fn read_interval(core: &Core) -> Ms {
     let bounds = &core.settings().bounds;
-    let change = bounds.config_ms.scale(READ_SHARE, 100);
+    let change = bounds.config_ms.scale(READ_INTERVAL_PERCENT, 100);
     match bounds.revoke_strict {
-        true => change.min(bounds.revoke_ms.scale(PROOF_SHARE, 100)),
+        true => change.min(bounds.revoke_ms.scale(PROOF_INTERVAL_PERCENT, 100)),
         false => change,
     }
 }
 
 fn watch_wait(core: &Core) -> Ms {
-    (core.settings().bounds.drain_ms - WATCH_REST).min(WATCH_MOST)
+    (core.settings().bounds.drain_ms - WATCH_MARGIN).min(MAX_WATCH)
 }
 
 async fn read_catalog(directory: &dyn Directory) -> Result<Option<Declared>, DirectoryError> {
-    let page = within(SILENCE, directory.list(Kind::Catalog, None)).await?;
+    let page = with_timeout(STORE_TIMEOUT, directory.list(Kind::Catalog, None)).await?;
     let mut newest: Option<Declared> = None;
     for record in page.records {
         match record.body {
@@ -94,7 +98,8 @@
     Ok(newest)
 }
 
-/// Reads the configuration, evacuations and what changed of the targets once, for a host that follows others.
+/// Reads the configuration, the evacuations and the changes of targets once, for a host that
+/// otherwise asks other hosts.
 pub(crate) async fn once(core: &Core, directory: &dyn Directory) -> Result<(), DirectoryError> {
     let sent = core.clock.now();
     core.metrics.store_call("read");
@@ -107,7 +112,7 @@
     Ok(())
 }
 
-/// Waits for changes of targets and takes them. Gives whether there were some.
+/// Waits for changes of targets and applies them. Returns whether there were any.
 async fn watch(
     core: &Core,
     directory: &dyn Directory,
@@ -115,7 +120,7 @@
     wait: Ms,
 ) -> Result<bool, DirectoryError> {
     let watch = directory.watch(Kind::Targets, since, wait);
-    let Updates { changes, revision } = within(wait + SILENCE, watch).await?;
+    let Updates { changes, revision } = with_timeout(wait + STORE_TIMEOUT, watch).await?;
     let changed = !changes.is_empty();
     let updates = changes.into_iter().map(|change| match change {
         Change::Removed(id) => Update::Removed(id),
@@ -128,35 +133,35 @@
 /// Keeps the targets current.
 pub(crate) async fn targets(core: Arc<Core>, directory: Arc<dyn Directory>) {
     let mut gap = Gap::default();
-    let mut pause = Pause::default();
+    let mut backoff = Backoff::default();
     let mut reading = core.reading();
     loop {
         // The sender lives in `core`, so the waits can't fail.
         let _ = reading.wait_for(|reads| *reads).await;
         let mut ended = core.reading();
         let result = tokio::select! {
-            result = follow(&core, directory.as_ref(), &mut pause, &mut gap) => result,
+            result = follow(&core, directory.as_ref(), &mut backoff, &mut gap) => result,
             _ = ended.wait_for(|reads| !*reads) => Ok(()),
         };
         let Err(err) = result else { continue };
         gap.failed(&err);
-        pause.bad(&err, "targets");
+        backoff.failed(&err, "targets");
         core.expire();
-        tokio::time::sleep(pause.time(core.draw()).duration()).await;
+        tokio::time::sleep(backoff.delay(core.draw()).duration()).await;
     }
 }
 
-/// What this host may have missed of the targets.
+/// Changes of targets that this host may have missed.
 #[derive(Default)]
 struct Gap {
-    /// Registrations may have lapsed, since the store was away.
+    /// Registrations may have lapsed while the store was unreachable.
     lapsed: bool,
-    /// The store has forgotten what happened since the last watch.
+    /// The store no longer has the history since the last watch.
     forgotten: bool,
 }
 
 impl Gap {
-    fn open(&self) -> bool {
+    fn exists(&self) -> bool {
         self.lapsed || self.forgotten
     }
 
@@ -169,30 +174,32 @@
         }
     }
 
-    /// A list has come: until when what is missing counts as lapsed, if the store was away before.
+    /// Closes the gap after a list has arrived. If the store was unreachable before, returns the time
+    /// until which missing targets count as lapsed.
     fn listed(&mut self, now: Ms) -> Option<Ms> {
         let lapsed = std::mem::take(self).lapsed;
         lapsed.then_some(now + LAPSE_GRACE)
     }
 }
 
-/// Watches, and lists what isn't known or hasn't been listed for long, until a call fails.
+/// Watches the targets until a call fails. Lists them first if they aren't known, if changes may
+/// have been missed or if the last list is old.
 ///
-/// Who reads changes with the live hosts; one that takes over goes on from the revision up to which
-/// it was told.
+/// The host that reads the store changes with the set of live hosts. One that takes over continues
+/// from the revision up to which it was informed by the previous one.
 async fn follow(
     core: &Core,
     directory: &dyn Directory,
-    pause: &mut Pause,
+    backoff: &mut Backoff,
     gap: &mut Gap,
 ) -> Result<(), DirectoryError> {
-    let mut list_at = core.clock.now() + LIST_EVERY;
+    let mut list_at = core.clock.now() + LIST_INTERVAL;
     loop {
         let wait = watch_wait(core);
-        let since = core.revision().filter(|_| !gap.open() && core.clock.now() < list_at);
+        let since = core.revision().filter(|_| !gap.exists() && core.clock.now() < list_at);
         let Some(since) = since else {
             let (records, revision) = list(core, directory, Kind::Targets).await?;
-            pause.good();
+            backoff.succeeded();
             let lapse = gap.listed(core.clock.now());
             lapse.into_iter().for_each(|until| core.lapsed(until));
             let names = records.iter().map(|r| r.name.clone()).collect();
@@ -201,20 +208,20 @@
                 Update::Malformed(_) | Update::Removed(_) => None,
             });
             core.take_list(revision.0, entries.collect(), names);
-            list_at = core.clock.now() + LIST_EVERY;
+            list_at = core.clock.now() + LIST_INTERVAL;
             continue;
         };
         core.metrics.store_call("watch");
         let changed = watch(core, directory, Revision(since), wait).await?;
-        pause.good();
+        backoff.succeeded();
         core.expire();
         if changed {
-            tokio::time::sleep(GROUP.duration()).await;
+            tokio::time::sleep(CHANGE_BATCH_DELAY.duration()).await;
         }
     }
 }
 
-/// All records of a kind, and the revision from which to watch on.
+/// Reads all records of a kind. Also returns the revision from which to watch for changes.
 pub(crate) async fn list(
     core: &Core,
     directory: &dyn Directory,
@@ -226,9 +233,9 @@
     loop {
         let list = directory.list(kind, after.as_deref());
         core.metrics.store_call("list");
-        let page = within(SILENCE, list).await?;
+        let page = with_timeout(STORE_TIMEOUT, list).await?;
         records.extend(page.records);
-        // Changes between two pages come again with the watch.
+        // Of the first page: the watch from there also reports changes made between two pages.
         let since = *first.get_or_insert(page.revision);
         match page.next {
             Some(next) => after = Some(next),
@@ -248,39 +255,41 @@
     }
 }
 
-async fn within<T>(
-    bound: Ms,
+async fn with_timeout<T>(
+    timeout: Ms,
     call: impl Future<Output = Result<T, DirectoryError>>,
 ) -> Result<T, DirectoryError> {
-    tokio::time::timeout(bound.duration(), call).await.unwrap_or(Err(DirectoryError::Down))
+    tokio::time::timeout(timeout.duration(), call).await.unwrap_or(Err(DirectoryError::Down))
 }
 
-/// Pauses between failed calls, and one log line when the store is lost and when it is back.
+/// Exponential back-off between failed calls. Logs once when the store becomes unreachable and once
+/// when it is back.
 #[derive(Default)]
-pub(crate) struct Pause {
+pub(crate) struct Backoff {
     failures: u32,
 }
 
-impl Pause {
-    /// A call was answered.
-    pub(crate) fn good(&mut self) {
+impl Backoff {
+    /// Records that a call was answered.
+    pub(crate) fn succeeded(&mut self) {
         if self.failures > 0 {
             note!(logs::Event::PlatformBack, failures = self.failures);
         }
         self.failures = 0;
     }
 
-    /// A call failed that reads `what`.
-    pub(crate) fn bad(&mut self, err: &DirectoryError, what: &'static str) {
+    /// Records that a call that reads `what` failed.
+    pub(crate) fn failed(&mut self, err: &DirectoryError, what: &'static str) {
         if self.failures == 0 {
             note!(logs::Event::PlatformDown, what, why = %err);
         }
         self.failures += 1;
     }
 
-    /// Time until the next call: hosts that lost the store together must not come back together.
-    pub(crate) fn time(&self, draw: u64) -> Ms {
-        let time = PAUSE.scale(1 << self.failures.saturating_sub(1).min(8), 1).min(PAUSE_MOST);
-        time.scale(1, 2) + Ms(draw % (time.0 / 2 + 1))
+    /// Delay until the next call. Half of it is random, so that hosts that lost the store at the same
+    /// time don't all call it again at the same time.
+    pub(crate) fn delay(&self, draw: u64) -> Ms {
+        let delay = BACKOFF.scale(1 << self.failures.saturating_sub(1).min(8), 1).min(MAX_BACKOFF);
+        delay.scale(1, 2) + Ms(draw % (delay.0 / 2 + 1))
     }
 }
--- a/crates/edge/src/gate.rs
+++ b/crates/edge/src/gate.rs
@@ -1,9 +1,10 @@
-//! Whether a target may get a request at this moment: evacuated failure domains, targets that leave,
-//! those that want to be left alone or name a limit, and cold ones.
+//! Decides whether a target may get a request at this moment. It may not if its failure domain is
+//! evacuated, if it is draining, if it has asked this host to pause, if its rate limit is used up, or
+//! if it is cold and has had this host's share of requests.
 //!
-//! Asked twice: when a target is chosen, and again right before the request is written, since a
-//! connection may have taken a while to open. Where a request may be is no question of the moment;
-//! that is its [`catalog::Residency`].
+//! The check is made twice: when a target is chosen, and again right before the request is written,
+//! since opening a connection may have taken a while. The regions that a request may be in don't
+//! change from moment to moment and aren't checked here; see [`catalog::Residency`].
 
 use base::Ms;
 use catalog::Warmup;
@@ -18,28 +19,28 @@
 use crate::members::Owner;
 use crate::settings::Settings;
 
-/// Why no target may get a request.
+/// Why no target may get a request, or why a certain one may not.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 pub(crate) enum BlockReason {
-    /// There is none, or all have been tried.
+    /// There is no target, or all have been tried.
     NoTarget,
-    /// None is in a region that the request may be in.
+    /// No target is in a region that the request may be in.
     Outside,
-    /// Those that there are belong to evacuated failure domains.
+    /// The targets belong to evacuated failure domains.
     Evacuated,
-    /// It has said that it leaves.
+    /// The target has announced that it is shutting down.
     Leaving,
-    /// Those that there are have turned requests of this host away, and want none for so long.
+    /// The targets have rejected requests of this host, and want none for this time.
     Paused(Ms),
-    /// Those that there are name a limit, and have had this host's part of it. It may send the next
-    /// request in this time.
+    /// The targets name a rate limit, and this host has used its share of it. It may send the next
+    /// request after this time.
     Limited(Ms),
-    /// Those that there are have had what they stand while cold; they stay cold for this long.
+    /// The targets are cold and have had this host's share of requests. They stay cold for this time.
     Cold(Ms),
 }
 
 impl BlockReason {
-    /// Its name in logs.
+    /// The name in logs.
     pub(crate) const fn name(self) -> &'static str {
         match self {
             Self::NoTarget => "no_target",
@@ -53,14 +54,14 @@
     }
 }
 
-/// What the gate rests on.
+/// The state that the checks share.
 pub(crate) struct Gate {
     evacuations: Mutex<Evacuations>,
     roster: Mutex<Roster>,
 }
 
 impl Gate {
-    /// Nothing evacuated and nobody seen.
+    /// No evacuations and no known hosts.
     pub(crate) fn new(now: Ms, settings: &Settings) -> Self {
         let others = settings.seeds.iter().any(|seed| *seed != settings.peer);
         Self { evacuations: Mutex::default(), roster: Mutex::new(Roster::new(now, others)) }
@@ -71,7 +72,7 @@
         lock(&self.evacuations)
     }
 
-    /// The hosts that there may be.
+    /// The hosts that may exist, alive or not.
     pub(crate) fn roster(&self) -> MutexGuard<'_, Roster> {
         lock(&self.roster)
     }
@@ -91,22 +92,22 @@
     }
     match link.paused(now) {
         Ms::ZERO => {}
-        rest => return Err(BlockReason::Paused(rest)),
+        remaining => return Err(BlockReason::Paused(remaining)),
     }
     check_limit(core, now, link)?;
-    let rest = link.warmth().rest(now);
-    if rest == Ms::ZERO {
+    let remaining = link.warmth().rest(now);
+    if remaining == Ms::ZERO {
         return Ok(());
     }
-    let Some(warmup) = declared(core, link) else { return Ok(()) };
-    let share = share(core, now, link, warmup);
+    let Some(warmup) = declared_warmup(core, link) else { return Ok(()) };
+    let share = cold_share(core, now, link, warmup);
     match link.warmth().open(now, share) {
         true => Ok(()),
-        false => Err(BlockReason::Cold(rest)),
+        false => Err(BlockReason::Cold(remaining)),
     }
 }
 
-/// The same for a request that is written now; it counts.
+/// Checks a target right before a request is written to it, and counts the request as sent.
 pub(crate) fn admit(core: &Core, link: &Link) -> Result<(), BlockReason> {
     let now = core.clock.now();
     check(core, now, link)?;
@@ -122,27 +123,28 @@
     }
     match limit.rest(now) {
         Ms::ZERO => Ok(()),
-        rest => Err(BlockReason::Limited(rest)),
+        remaining => Err(BlockReason::Limited(remaining)),
     }
 }
 
-/// Time between two requests of this host to a target that takes so many a second from all.
+/// Interval between requests of this host to a target that accepts `per_second` from all hosts
+/// together.
 fn interval(core: &Core, link: &Link, per_second: f64) -> Ms {
     let hosts = core.members.hosts();
     let names = || hosts.iter().map(|h| &h.host);
-    let near = hosts.iter().filter(|h| h.domain == link.entry.domain).map(|h| &h.host);
+    let same_domain = hosts.iter().filter(|h| h.domain == link.entry.domain).map(|h| &h.host);
     let me = core.members.me();
-    let part = match composes(core, link) {
-        // Whoever composes a stage target's calls sends it all that it gets.
+    let part = match composes_calls(core, link) {
+        // The host that composes the calls of a stage target sends all the calls that it gets.
         Some(true) => Part::Shares(1),
         Some(false) => limit::part(0.0, link.name(), me, [], names()),
-        None => limit::part(per_second, link.name(), me, near, names()),
+        None => limit::part(per_second, link.name(), me, same_domain, names()),
     };
     limit::interval(per_second, part, hosts.len())
 }
 
-/// Whether this host composes the calls of a stage target; none for other targets.
-fn composes(core: &Core, link: &Link) -> Option<bool> {
+/// Whether this host composes the calls of a stage target; none if the target isn't a stage target.
+fn composes_calls(core: &Core, link: &Link) -> Option<bool> {
     let service = &link.entry.service;
     core.declared()?.catalog.service(service)?.batch.as_ref()?;
     let settings = core.settings();
@@ -150,23 +152,24 @@
     Some(core.members.owner(&settings, service, region) == Some(Owner::Me))
 }
 
-/// Targets of a failure domain are taken to be cold: its evacuation was taken back.
+/// Marks the targets of a failure domain as cold after its evacuation has ended, since they may have
+/// gone cold without requests.
 pub(crate) fn mark_domain_cold(core: &Core, domain: &base::DomainId) {
     let now = core.clock.now();
     let links = core.links();
     for link in links.all().filter(|l| l.entry.domain == *domain) {
-        if let Some(warmup) = declared(core, link) {
+        if let Some(warmup) = declared_warmup(core, link) {
             link.warmth().cold_until(now + warmup.time);
         }
     }
 }
 
-fn declared(core: &Core, link: &Link) -> Option<Warmup> {
+fn declared_warmup(core: &Core, link: &Link) -> Option<Warmup> {
     core.declared()?.catalog.service(&link.entry.service)?.warmup
 }
 
-/// Requests that this host may send to a cold target within a second.
-fn share(core: &Core, now: Ms, link: &Link, warmup: Warmup) -> u32 {
+/// Number of requests that this host may send to a cold target within a second.
+fn cold_share(core: &Core, now: Ms, link: &Link, warmup: Warmup) -> u32 {
     let settings = core.settings();
     if link.entry.domain != settings.domain {
         return 0;
--- a/crates/edge/src/host.rs
+++ b/crates/edge/src/host.rs
@@ -1,4 +1,4 @@
-//! One edge host: started, stopped, and what its parts share.
+//! Starts and stops one edge host, and holds the state that its parts share.
 
 use base::{Clock, Ms};
 use gossip::Node;
@@ -24,57 +24,58 @@
 use crate::settings::Settings;
 use crate::{accept, evacuate, follow, notify, reload, source};
 
-/// Time for which a stopping host goes on taking requests, ms: the platform asks every second, and
-/// sends nobody any more after two answers that the host isn't ready.
-const LEAVE: Ms = Ms(2_600);
-/// Time after which a stopping host gives up requests that no engine has yet, ms. Their callers can
-/// still be served elsewhere; a stream that begins now needs some seconds to end.
-const GIVE_UP: Ms = Ms(4_500);
-/// Time kept back from the platform's grace, ms, to close what is left and exit.
-const GRACE_REST: Ms = Ms(400);
-/// Time between counts of the live hosts, ms.
-const COUNT: Ms = Ms::secs(1);
+/// Time for which a stopping host still accepts requests. The platform checks readiness every
+/// second, and sends no more callers after two responses that the host isn't ready.
+const ACCEPT_TIME: Ms = Ms(2_600);
+/// Time after the start of the stop at which requests that no engine has yet are refused. Their
+/// callers can still be served by another host, while a stream that began later would need some more
+/// seconds to end.
+const REFUSE_UNSENT_AFTER: Ms = Ms(4_500);
+/// Time kept back from the platform's grace period to close what is left open and to exit.
+const EXIT_MARGIN: Ms = Ms(400);
+/// Interval between counts of the live hosts.
+const COUNT_INTERVAL: Ms = Ms::secs(1);
 
 /// Why a host can't start.
 #[derive(Debug, Error)]
 pub enum HostError {
-    /// An address can't be listened on.
+    /// The host can't listen on an address.
     #[error("can't listen on {addr}: {source}")]
     Listen {
-        /// Which.
+        /// The address.
         addr: SocketAddr,
-        /// Why.
+        /// The cause.
         source: std::io::Error,
     },
     /// The metrics can't be set up.
-    #[error("can't set the metrics up: {0}")]
+    #[error("can't set up the metrics: {0}")]
     Metrics(#[from] opentelemetry_sdk::error::OTelSdkError),
 }
 
 /// How a host stopped.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 pub struct Stopped {
-    /// Requests that were still open when its time ran out.
+    /// Number of requests that were still open when the grace period ended.
     pub cut: u64,
 }
 
-/// What all requests share.
+/// State shared by all requests.
 pub(crate) struct App {
     pub(crate) core: Arc<Core>,
     pub(crate) composer: Arc<Composer>,
     closed: AtomicBool,
-    /// True when requests that no engine has are given up.
-    giving_up: watch::Sender<bool>,
+    /// True once requests that no engine has are refused.
+    refuses_unsent: watch::Sender<bool>,
 }
 
 impl App {
-    /// Ends when requests that no engine has are given up.
-    pub(crate) async fn giving_up(&self) {
+    /// Completes when requests that no engine has are to be refused.
+    pub(crate) async fn refuses_unsent(&self) {
         // The sender lives in `self`, so the wait can't fail.
-        let _ = self.giving_up.subscribe().wait_for(|now| *now).await;
+        let _ = self.refuses_unsent.subscribe().wait_for(|refuses| *refuses).await;
     }
 
-    /// Whether new requests are refused, since the host is about to go.
+    /// Whether new requests are refused because the host is stopping.
     pub(crate) fn closed(&self) -> bool {
         self.closed.load(Ordering::Relaxed)
     }
@@ -86,7 +87,8 @@
     node: Node,
     listen: SocketAddr,
     callers: Listener,
-    side: Vec<Listener>,
+    /// Listeners for readiness and metrics.
+    aux: Vec<Listener>,
     tasks: Vec<JoinHandle<()>>,
 }
 
@@ -96,7 +98,7 @@
 }
 
 impl Host {
-    /// Starts it. Each message of `changed` says that the settings at `path` have changed.
+    /// Starts the host. Each message on `changed` says that the settings at `path` have changed.
     pub async fn start(
         settings: Settings,
         path: PathBuf,
@@ -107,7 +109,7 @@
     ) -> Result<Self, HostError> {
         let peer = settings.peer;
         let listen = |source| HostError::Listen { addr: peer, source };
-        let (members, node, told) =
+        let (members, node, outbox) =
             Members::start(&settings, clock.clone()).await.map_err(listen)?;
         let (addr, ready, metrics) = (settings.listen, settings.ready, settings.metrics);
         let core = Arc::new(Core::new(settings, dialect, clock, members, Metrics::new()?));
@@ -117,7 +119,7 @@
             core: core.clone(),
             composer: composer.clone(),
             closed: AtomicBool::new(false),
-            giving_up: watch::Sender::new(false),
+            refuses_unsent: watch::Sender::new(false),
         });
         let tasks = vec![
             tokio::spawn(follow::catalog(core.clone(), directory.clone())),
@@ -126,14 +128,14 @@
             tokio::spawn(source::follow(core.clone(), directory)),
             tokio::spawn(reload::follow(core.clone(), path, changed)),
             tokio::spawn(composer.watch_far()),
-            tokio::spawn(notify::crashes(core.clone(), told.crashes)),
-            tokio::spawn(notify::prompts(core.clone(), told.prompts)),
-            tokio::spawn(notify::limits(core.clone(), told.limits)),
-            tokio::spawn(count(core.clone())),
+            tokio::spawn(notify::crashes(core.clone(), outbox.crashes)),
+            tokio::spawn(notify::prompts(core.clone(), outbox.prompts)),
+            tokio::spawn(notify::limits(core.clone(), outbox.limits)),
+            tokio::spawn(count_hosts(core.clone())),
         ];
-        let mut side = vec![answers(ready, Ready(core.clone())).await?];
+        let mut aux = vec![listen_aux(ready, Ready(core.clone())).await?];
         if let Some(addr) = metrics {
-            side.push(answers(addr, Text(core.clone())).await?);
+            aux.push(listen_aux(addr, MetricsText(core.clone())).await?);
         }
         let listener = bind(addr).await?;
         let listen = listener.local_addr().unwrap_or(addr);
@@ -146,20 +148,20 @@
             ready = %ready,
             peer = %node.addr()
         );
-        Ok(Self { app, node, listen, callers: Listener { stop, task }, side, tasks })
+        Ok(Self { app, node, listen, callers: Listener { stop, task }, aux, tasks })
     }
 
-    /// Where callers connect.
+    /// The address that callers connect to.
     pub fn listen(&self) -> SocketAddr {
         self.listen
     }
 
-    /// Where other hosts connect.
+    /// The address that other hosts connect to.
     pub fn peer(&self) -> SocketAddr {
         self.node.addr()
     }
 
-    /// Live hosts that it knows, itself included.
+    /// Number of live hosts that this host knows, itself included.
     pub fn peers(&self) -> usize {
         self.app.core.members.hosts().len()
     }
@@ -169,7 +171,7 @@
         self.app.core.settings().clone()
     }
 
-    /// What it counts, as its metrics address serves it.
+    /// The metrics, as the metrics address serves them.
     pub fn metrics(&self) -> String {
         String::from_utf8_lossy(&self.app.core.metrics.text()).into_owned()
     }
@@ -179,27 +181,28 @@
         self.app.core.ready()
     }
 
-    /// Stops without cutting an answer: not ready first, so that nobody new comes; then nothing
-    /// new is taken; then what is open is finished, within the platform's grace.
+    /// Stops without truncating a response. First the host reports that it isn't ready, so that no new
+    /// callers are sent to it. Then it accepts no new requests. Then it finishes the open requests,
+    /// within the platform's grace period.
     pub async fn close(self) -> Stopped {
         let core = &self.app.core;
-        let begun = core.clock.now();
-        let grace = Ms((core.settings().bounds.grace_s * 1000.0) as u64) - GRACE_REST;
+        let started = core.clock.now();
+        let grace = Ms((core.settings().bounds.grace_s * 1000.0) as u64) - EXIT_MARGIN;
         note!(logs::Event::HostDraining, open = core.open().load(Ordering::Relaxed));
         core.stop();
         self.node.leave();
-        let end = begun + grace;
-        tokio::time::sleep(LEAVE.min(grace).duration()).await;
+        let end = started + grace;
+        tokio::time::sleep(ACCEPT_TIME.min(grace).duration()).await;
         self.app.closed.store(true, Ordering::Relaxed);
         self.callers.stop.stop();
         let app = self.app.clone();
-        let give_up = tokio::spawn(async move {
-            tokio::time::sleep((GIVE_UP - LEAVE).duration()).await;
-            app.giving_up.send_replace(true);
+        let refuse_unsent = tokio::spawn(async move {
+            tokio::time::sleep((REFUSE_UNSENT_AFTER - ACCEPT_TIME).duration()).await;
+            app.refuses_unsent.send_replace(true);
         });
-        let rest = end - core.clock.now();
-        let finished = tokio::time::timeout(rest.duration(), self.callers.task).await.is_ok();
-        give_up.abort();
+        let remaining = end - core.clock.now();
+        let finished = tokio::time::timeout(remaining.duration(), self.callers.task).await.is_ok();
+        refuse_unsent.abort();
         let cut = if finished { 0 } else { core.open().load(Ordering::Relaxed) };
         if !finished {
             note!(logs::Event::DrainOverrun, open = cut);
@@ -207,7 +210,7 @@
         for task in self.tasks {
             task.abort();
         }
-        for listener in self.side {
+        for listener in self.aux {
             listener.stop.stop();
             listener.task.abort();
         }
@@ -218,10 +221,11 @@
     }
 }
 
-/// Keeps the hosts that share the allowance of second sends, and what cold targets stand.
-async fn count(core: Arc<Core>) {
+/// Keeps the number of hosts that share the retry budget, and the roster of hosts that share the
+/// limits of cold targets, current.
+async fn count_hosts(core: Arc<Core>) {
     loop {
-        tokio::time::sleep(COUNT.duration()).await;
+        tokio::time::sleep(COUNT_INTERVAL.duration()).await;
         let hosts = core.members.hosts();
         core.budget().hosts(hosts.len());
         let seen = hosts.iter().map(|h| (&h.host, &h.domain));
@@ -233,7 +237,7 @@
     TcpListener::bind(addr).await.map_err(|source| HostError::Listen { addr, source })
 }
 
-async fn answers<H: Handler>(addr: SocketAddr, handler: H) -> Result<Listener, HostError> {
+async fn listen_aux<H: Handler>(addr: SocketAddr, handler: H) -> Result<Listener, HostError> {
     let listener = bind(addr).await?;
     let stop = Stop::new();
     let bounds = Bounds { read_ms: Ms::secs(60), connections: 64, ..Bounds::default() };
@@ -244,7 +248,7 @@
     Ok(Listener { stop, task })
 }
 
-/// Answers whether the host takes requests.
+/// Responds whether the host is ready for requests.
 struct Ready(Arc<Core>);
 
 impl Handler for Ready {
@@ -261,10 +265,10 @@
     }
 }
 
-/// Answers with the metrics, on any path.
-struct Text(Arc<Core>);
+/// Responds with the metrics, on any path.
+struct MetricsText(Arc<Core>);
 
-impl Handler for Text {
+impl Handler for MetricsText {
     async fn handle(self: Arc<Self>, _: Request<Incoming>, _: SocketAddr) -> Response<Body> {
         Response::new(full(self.0.metrics.text()))
     }
--- a/crates/edge/src/stream.rs
+++ b/crates/edge/src/stream.rs
@@ -1,4 +1,5 @@
-//! Requests answered by an event stream: stages first, then an engine, then events as they come.
+//! Runs requests whose response is an event stream: first the stages, then an engine, whose events
+//! are forwarded as they arrive.
 
 use futures::stream::unfold;
 use http_body_util::{BodyExt, StreamBody};
@@ -13,14 +14,14 @@
 use crate::request::Call;
 use crate::{stages, subjects};
 
-/// Runs it and gives the caller's answer; the events follow as the answer's body.
+/// Runs a request and returns the response to the caller; the events follow as its body.
 pub(crate) async fn run(app: Arc<App>, call: Call) -> Response<ResponseBody> {
     let core = app.core.clone();
     let readers = subjects::ask(&core, &call);
     let done = tokio::select! {
         done = stages::run(&app, &call) => done,
-        // Begun now, its stream would be cut when the host's time is over.
-        () = app.giving_up() => Err(Reason::Stopping),
+        // A stream that began now would be truncated at the end of the host's grace period.
+        () = app.refuses_unsent() => Err(Reason::Stopping),
     };
     let results = match done {
         Ok(results) => results,
@@ -34,7 +35,7 @@
                 let mut relay = relay?;
                 match relay.next().await {
                     Some(Ok(events)) => Some((Ok(Frame::data(events)), Some(relay))),
-                    Some(Err(cut)) => Some((Err(cut), None)),
+                    Some(Err(truncated)) => Some((Err(truncated), None)),
                     None => None,
                 }
             });
--- a/crates/edge/tests/events.rs
+++ b/crates/edge/tests/events.rs
@@ -1,4 +1,4 @@
-//! Event streams over several runs: nothing missing, twice or torn.
+//! Event streams over several runs: no event is lost, duplicated or truncated.
 
 use bytes::Bytes;
 use edge::{EventStream, Parsed};
@@ -7,7 +7,7 @@
     format!("id: {id}\ndata: w{id}\n\n")
 }
 
-fn take(stream: &mut EventStream, text: &str) -> Parsed {
+fn push(stream: &mut EventStream, text: &str) -> Parsed {
     stream.push(Bytes::copy_from_slice(text.as_bytes()))
 }
 
@@ -16,13 +16,13 @@
 }
 
 #[test]
-fn whole_events_pass_and_halves_wait() {
+fn complete_events_pass_and_partial_ones_wait() {
     let mut stream = EventStream::new(None);
     let text = event(1) + &event(2);
     let (front, back) = text.split_at(event(1).len() + 5);
-    assert_eq!(take(&mut stream, front), events(&event(1)));
+    assert_eq!(push(&mut stream, front), events(&event(1)));
     assert!(stream.is_partial());
-    assert_eq!(take(&mut stream, back), events(&event(2)));
+    assert_eq!(push(&mut stream, back), events(&event(2)));
     assert!(!stream.is_partial());
     assert_eq!(stream.last(), Some(2));
 }
@@ -34,7 +34,7 @@
         let mut stream = EventStream::new(None);
         let mut out = Vec::new();
         for part in [&text[..at], &text[at..]] {
-            match take(&mut stream, part) {
+            match push(&mut stream, part) {
                 Parsed::Events(bytes) => out.extend_from_slice(&bytes),
                 Parsed::Broken => panic!("broken at {at}"),
             }
@@ -43,21 +43,21 @@
     }
 }
 
-// A reader sees a word twice, or one is missing: another engine went on from elsewhere than where
-// the first one stopped.
+// Guards against a reader seeing a word twice or missing one. It comes about when another engine
+// continues the stream at another event than the one where the first engine stopped.
 #[test]
-fn a_run_that_goes_on_elsewhere_adds_what_is_missing_and_nothing_else() {
+fn a_run_that_continues_elsewhere_adds_only_the_missing_events() {
     let mut stream = EventStream::new(None);
-    take(&mut stream, &(event(1) + &event(2) + "id: 3\nda"));
+    push(&mut stream, &(event(1) + &event(2) + "id: 3\nda"));
     stream.restart();
-    assert_eq!(take(&mut stream, &(event(2) + &event(3))), events(&event(3)));
-    assert_eq!(take(&mut stream, &event(5)), Parsed::Broken);
+    assert_eq!(push(&mut stream, &(event(2) + &event(3))), events(&event(3)));
+    assert_eq!(push(&mut stream, &event(5)), Parsed::Broken);
 }
 
 #[test]
-fn a_caller_that_resumes_has_everything_up_to_its_last_event() {
+fn a_caller_that_resumes_gets_only_later_events() {
     let mut stream = EventStream::new(Some(7));
-    assert_eq!(take(&mut stream, &(event(7) + &event(8))), events(&event(8)));
+    assert_eq!(push(&mut stream, &(event(7) + &event(8))), events(&event(8)));
 }
 
 #[test]
@@ -65,7 +65,7 @@
     let mut stream = EventStream::new(None);
     let mut last = Parsed::Events(Bytes::new());
     for _ in 0..20 {
-        last = take(&mut stream, &"x".repeat(100_000));
+        last = push(&mut stream, &"x".repeat(100_000));
     }
     assert_eq!(last, Parsed::Broken);
 }
