--- a/crates/edge/src/events.rs
+++ b/crates/edge/src/events.rs
@@ -19,8 +19,8 @@
     Broken,
 }
 
-/// The state of one caller's stream over all its runs. Each run is at one target, which sends a part
-/// of the stream.
+/// The state of one caller's stream over all its runs. Each run is at one target, which sends a
+/// part of the stream.
 #[derive(Debug, Default)]
 pub struct EventStream {
     /// The start of an incomplete event.
--- a/crates/edge/src/follow.rs
+++ b/crates/edge/src/follow.rs
@@ -17,13 +17,13 @@
 };
 use crate::evacuate;
 
-/// Time between two reads of the configuration, in percent of the time within which a change must be
-/// in force. It leaves the hosts that ask this one enough time to notice that its reads fail and to
-/// read the store themselves.
+/// Time between two reads of the configuration, in percent of the time within which a change must
+/// be in force. It leaves the hosts that ask this one enough time to notice that its reads fail and
+/// to read the store themselves.
 const READ_INTERVAL_PERCENT: u64 = 30;
-/// Upper bound of the same interval, in percent of the time after which a revoked key must no longer
-/// work. The rest allows for the later arrival of the proof at hosts that ask this one, and for one
-/// lost call.
+/// Upper bound of the same interval, in percent of the time after which a revoked key must no
+/// longer work. The rest allows for the later arrival of the proof at hosts that ask this one, and
+/// for one lost call.
 const PROOF_INTERVAL_PERCENT: u64 = 20;
 /// Time-out for a response of the store: sixty times its usual response time.
 const STORE_TIMEOUT: Ms = Ms(700);
@@ -174,8 +174,8 @@
         }
     }
 
-    /// Closes the gap after a list has arrived. If the store was unreachable before, returns the time
-    /// until which missing targets count as lapsed.
+    /// Closes the gap after a list has arrived. If the store was unreachable before, returns the
+    /// time until which missing targets count as lapsed.
     fn listed(&mut self, now: Ms) -> Option<Ms> {
         let lapsed = std::mem::take(self).lapsed;
         lapsed.then_some(now + LAPSE_GRACE)
@@ -286,8 +286,8 @@
         self.failures += 1;
     }
 
-    /// Delay until the next call. Half of it is random, so that hosts that lost the store at the same
-    /// time don't all call it again at the same time.
+    /// Delay until the next call. Half of it is random, so that hosts that lost the store at the
+    /// same time don't all call it again at the same time.
     pub(crate) fn delay(&self, draw: u64) -> Ms {
         let delay = BACKOFF.scale(1 << self.failures.saturating_sub(1).min(8), 1).min(MAX_BACKOFF);
         delay.scale(1, 2) + Ms(draw % (delay.0 / 2 + 1))
--- a/crates/edge/src/gate.rs
+++ b/crates/edge/src/gate.rs
@@ -1,6 +1,6 @@
 //! Decides whether a target may get a request at this moment. It may not if its failure domain is
-//! evacuated, if it is draining, if it has asked this host to pause, if its rate limit is used up, or
-//! if it is cold and has had this host's share of requests.
+//! evacuated, if it is draining, if it has asked this host to pause, if its rate limit is used up,
+//! or if it is cold and has had this host's share of requests.
 //!
 //! The check is made twice: when a target is chosen, and again right before the request is written,
 //! since opening a connection may have taken a while. The regions that a request may be in don't
@@ -35,7 +35,8 @@
     /// The targets name a rate limit, and this host has used its share of it. It may send the next
     /// request after this time.
     Limited(Ms),
-    /// The targets are cold and have had this host's share of requests. They stay cold for this time.
+    /// The targets are cold and have had this host's share of requests. They stay cold for this
+    /// time.
     Cold(Ms),
 }
 
@@ -135,7 +136,7 @@
     let same_domain = hosts.iter().filter(|h| h.domain == link.entry.domain).map(|h| &h.host);
     let me = core.members.me();
     let part = match composes_calls(core, link) {
-        // The host that composes the calls of a stage target sends all the calls that it gets.
+        // The host that composes the calls of a stage target sends all calls that the target gets.
         Some(true) => Part::Shares(1),
         Some(false) => limit::part(0.0, link.name(), me, [], names()),
         None => limit::part(per_second, link.name(), me, same_domain, names()),
@@ -152,8 +153,8 @@
     Some(core.members.owner(&settings, service, region) == Some(Owner::Me))
 }
 
-/// Marks the targets of a failure domain as cold after its evacuation has ended, since they may have
-/// gone cold without requests.
+/// Marks the targets of a failure domain as cold after its evacuation has ended, since they may
+/// have gone cold without requests.
 pub(crate) fn mark_domain_cold(core: &Core, domain: &base::DomainId) {
     let now = core.clock.now();
     let links = core.links();
--- a/crates/edge/src/host.rs
+++ b/crates/edge/src/host.rs
@@ -28,7 +28,7 @@
 /// second, and sends no more callers after two responses that the host isn't ready.
 const ACCEPT_TIME: Ms = Ms(2_600);
 /// Time after the start of the stop at which requests that no engine has yet are refused. Their
-/// callers can still be served by another host, while a stream that began later would need some more
+/// callers can still be served by another host; a stream that began at this point would need some
 /// seconds to end.
 const REFUSE_UNSENT_AFTER: Ms = Ms(4_500);
 /// Time kept back from the platform's grace period to close what is left open and to exit.
@@ -181,9 +181,9 @@
         self.app.core.ready()
     }
 
-    /// Stops without truncating a response. First the host reports that it isn't ready, so that no new
-    /// callers are sent to it. Then it accepts no new requests. Then it finishes the open requests,
-    /// within the platform's grace period.
+    /// Stops without truncating a response. First the host reports that it isn't ready, so that no
+    /// new callers are sent to it. Then it accepts no new requests. Then it finishes the open
+    /// requests, within the platform's grace period.
     pub async fn close(self) -> Stopped {
         let core = &self.app.core;
         let started = core.clock.now();
--- a/crates/edge/src/lib.rs
+++ b/crates/edge/src/lib.rs
@@ -1,14 +1,14 @@
-//! An edge host: takes callers' requests, runs their stages on targets and passes answers back.
+//! An edge host: accepts callers' requests, runs their stages on targets and returns the responses.
 //!
-//! The platform's names and formats are behind two borders, [`Dialect`] for requests and answers
-//! and [`Directory`] for what is registered and declared; everything else here is the product's.
+//! Two traits keep the platform's names and formats out of this crate: [`Dialect`] for requests and
+//! responses, and [`Directory`] for the configuration and the registered targets.
 //!
 //! ```text
 //! caller -> accept -> request -> plain | stream -> links -> target
 //!                        |          ^
 //!                        v          |
 //!                     stages -> composer (this host's or a peer's) -> links -> stage target
-//! follow: Directory -> catalog and registry <- source: another host that reads the store
+//! follow: Directory -> catalog and registry <- source: another host, which reads the store
 //! members: peers over tarpc
 //! ```
 
--- a/crates/edge/src/liveness.rs
+++ b/crates/edge/src/liveness.rs
@@ -1,8 +1,8 @@
-//! Signs of life of the hosts that this one waits for.
+//! Probes the hosts whose results this host waits for, to detect their loss.
 //!
-//! A host that freezes, or is cut off without a reset, leaves its callers waiting for results for
-//! as long as their deadlines allow. So whoever waits asks regularly for a sign of life, once for
-//! all that wait for the same host, on the connection that the results come on.
+//! If a host freezes, or is cut off without a connection reset, the requests that wait for its
+//! results would wait as long as their deadlines allow. So a host is probed regularly while anybody
+//! waits for it, with one probe for all waiters, on the connection on which the results arrive.
 
 use base::Ms;
 use std::collections::HashMap;
@@ -12,51 +12,53 @@
 
 use crate::core::Core;
 
-/// Time between signs of life of a host that others wait for, ms.
-const EVERY: Ms = Ms(250);
-/// Missed signs of life after which it is lost: one may be lost or late.
-const MISSED: u32 = 2;
+/// Interval between probes of a host.
+const PROBE_INTERVAL: Ms = Ms(250);
+/// Number of failed probes in a row after which a host counts as lost. A single response may be
+/// lost or late.
+const MAX_MISSES: u32 = 2;
 
-/// Asked hosts, as long as somebody waits for them.
+/// The hosts that are probed, each as long as somebody waits for it.
 #[derive(Default)]
 pub(crate) struct LivenessProbes {
-    asked: Arc<Mutex<HashMap<SocketAddr, watch::Sender<()>>>>,
+    probed: Arc<Mutex<HashMap<SocketAddr, watch::Sender<()>>>>,
 }
 
 impl LivenessProbes {
-    /// Ends when the host at `addr` missed [`MISSED`] signs of life in a row.
+    /// Completes when the host at `addr` has failed [`MAX_MISSES`] probes in a row.
     pub(crate) async fn lost(&self, core: &Arc<Core>, addr: SocketAddr) {
-        let mut lost = self.join(core, addr);
-        // An error says that the asking has ended, which it does only when the host is lost.
+        let mut lost = self.subscribe(core, addr);
+        // The probing ends while this receiver exists only if the host is lost, so an error says
+        // the same as a change.
         let _ = lost.changed().await;
     }
 
-    fn join(&self, core: &Arc<Core>, addr: SocketAddr) -> watch::Receiver<()> {
-        let mut asked = lock(&self.asked);
-        if let Some(sender) = asked.get(&addr) {
+    fn subscribe(&self, core: &Arc<Core>, addr: SocketAddr) -> watch::Receiver<()> {
+        let mut probed = lock(&self.probed);
+        if let Some(sender) = probed.get(&addr) {
             return sender.subscribe();
         }
         let (sender, receiver) = watch::channel(());
-        asked.insert(addr, sender);
-        tokio::spawn(ask(core.clone(), self.asked.clone(), addr));
+        probed.insert(addr, sender);
+        tokio::spawn(probe(core.clone(), self.probed.clone(), addr));
         receiver
     }
 }
 
-/// Asks until nobody waits or the host is lost. Either way it takes itself out first.
-async fn ask(
+/// Probes a host until nobody waits for it or it is lost. Removes its entry before it returns.
+async fn probe(
     core: Arc<Core>,
-    asked: Arc<Mutex<HashMap<SocketAddr, watch::Sender<()>>>>,
+    probed: Arc<Mutex<HashMap<SocketAddr, watch::Sender<()>>>>,
     addr: SocketAddr,
 ) {
     let peers = core.members.peers();
     let mut misses = 0;
     loop {
-        tokio::time::sleep(EVERY.duration()).await;
+        tokio::time::sleep(PROBE_INTERVAL.duration()).await;
         {
-            let mut asked = lock(&asked);
-            if asked.get(&addr).is_none_or(|sender| sender.receiver_count() == 0) {
-                asked.remove(&addr);
+            let mut probed = lock(&probed);
+            if probed.get(&addr).is_none_or(|sender| sender.receiver_count() == 0) {
+                probed.remove(&addr);
                 return;
             }
         }
@@ -64,8 +66,8 @@
             Ok(_) => misses = 0,
             Err(_) => misses += 1,
         }
-        if misses >= MISSED {
-            if let Some(sender) = lock(&asked).remove(&addr) {
+        if misses >= MAX_MISSES {
+            if let Some(sender) = lock(&probed).remove(&addr) {
                 sender.send_replace(());
             }
             return;
--- a/crates/edge/src/members.rs
+++ b/crates/edge/src/members.rs
@@ -1,4 +1,5 @@
-//! The other hosts: who composes a service's calls, and what they must know at once.
+//! Calls to the other hosts. Determines which host is responsible for what, such as composing the
+//! calls of a service, and passes on news that other hosts need at once.
 
 use base::{Clock, DomainId, HostId, Ms, PoolId, RegionId, TargetId};
 use gossip::{Node, NodeConfig};
@@ -13,37 +14,38 @@
 
 use crate::settings::Settings;
 
-/// Silence after which a call between hosts has failed, ms: links take up to some 40 ms there and
-/// back, and a small host may be held up for a tenth of a second by its quota.
-const SILENCE: Ms = Ms(400);
-/// Time for which a host that failed a call composes nothing for this one, ms: until the others
-/// notice too, or it is back.
-const SUSPECT: Ms = Ms(2_000);
-/// Time between heartbeats to a few peers, ms.
-const GOSSIP: Ms = Ms(1_000);
-/// A host unheard of for this long is taken for dead, ms.
-const DEAD: Ms = Ms(3_000);
-/// Calls at once to hosts that are told something.
-const TOLD_AT_ONCE: usize = 64;
-/// Hosts of the failure domain that are told of a prompt, at a hundred bytes each: with more hosts
-/// the fleet's rate a host is lower, and a dozen know enough to avoid an engine that is in use.
-const NEAR_TOLD: usize = 12;
-
-/// Who composes a service's calls in a region.
+/// Time-out of a call between hosts. The round trip takes up to about 40 ms, and a small host may
+/// be stopped for a tenth of a second by its CPU quota.
+const PEER_TIMEOUT: Ms = Ms(400);
+/// Time for which a host that failed a call is given no duties by this host. By then the other
+/// hosts have noticed its failure too, or it is back.
+const SUSPECT_TIME: Ms = Ms(2_000);
+/// Interval between gossip heartbeats to a few peers.
+const GOSSIP_INTERVAL: Ms = Ms(1_000);
+/// Time without a heartbeat after which a host counts as dead.
+const DEAD_AFTER: Ms = Ms(3_000);
+/// Limit of concurrent calls when several hosts are notified.
+const MAX_PARALLEL_CALLS: usize = 64;
+/// Limit of hosts of a failure domain that are notified, for example of a prompt, which takes a
+/// hundred bytes for each. In a domain with more hosts each of them sends fewer requests, and a
+/// dozen informed hosts are enough to avoid an engine that is in use.
+const MAX_DOMAIN_AUDIENCE: usize = 12;
+
+/// The host that has a duty, such as composing the calls of a service in a region.
 #[derive(Clone, Debug, PartialEq, Eq)]
 pub(crate) enum Owner {
     /// This host.
     Me,
-    /// Another.
+    /// Another host.
     Peer {
-        /// Its name.
+        /// The name of the host.
         host: HostId,
-        /// Where it listens.
+        /// The address that it listens on for other hosts.
         addr: SocketAddr,
     },
 }
 
-/// The other hosts.
+/// The hosts of the fleet, as this host knows them.
 pub(crate) struct Members {
     me: HostId,
     view: Arc<dyn View>,
@@ -55,18 +57,19 @@
     limits: mpsc::UnboundedSender<(DomainId, TargetLimit)>,
 }
 
-/// What is to be told to other hosts.
+/// News to be sent to other hosts.
 pub(crate) struct Outbox {
-    /// Targets that broke under a request.
+    /// Requests under which a target broke its connection.
     pub(crate) crashes: mpsc::UnboundedReceiver<Crash>,
     /// Prompts sent to engines, with the engine's failure domain.
     pub(crate) prompts: mpsc::UnboundedReceiver<(DomainId, PromptSent)>,
-    /// Limits that targets name, or don't any more, with the target's failure domain.
+    /// Rate limits that targets name, or no longer name, with the target's failure domain.
     pub(crate) limits: mpsc::UnboundedReceiver<(DomainId, TargetLimit)>,
 }
 
 impl Members {
-    /// Starts the node that knows who is alive. What is to be told comes out of the receivers.
+    /// Starts the gossip node, which knows the live hosts. News to be sent to other hosts arrives
+    /// in the returned outbox.
     pub(crate) async fn start(
         settings: &Settings,
         clock: Arc<dyn Clock>,
@@ -76,24 +79,24 @@
             capacity: (settings.cores * 1000.0) as u32,
         };
         let (node, _news) = Node::start(config, Arc::new(Empty), clock.clone()).await?;
-        let (crashes, crashes_told) = mpsc::unbounded_channel();
-        let (prompts, prompts_told) = mpsc::unbounded_channel();
-        let (limits, limits_told) = mpsc::unbounded_channel();
+        let (crashes, crashes_out) = mpsc::unbounded_channel();
+        let (prompts, prompts_out) = mpsc::unbounded_channel();
+        let (limits, limits_out) = mpsc::unbounded_channel();
         let members = Self {
             me: settings.host.clone(),
             view: node.view(),
-            peers: Arc::new(Wire::new(SILENCE)),
+            peers: Arc::new(Wire::new(PEER_TIMEOUT)),
             clock,
             suspects: Mutex::default(),
             crashes,
             prompts,
             limits,
         };
-        let told = Outbox { crashes: crashes_told, prompts: prompts_told, limits: limits_told };
-        Ok((members, node, told))
+        let outbox = Outbox { crashes: crashes_out, prompts: prompts_out, limits: limits_out };
+        Ok((members, node, outbox))
     }
 
-    /// Calls to other hosts.
+    /// The client for calls to other hosts.
     pub(crate) fn peers(&self) -> Arc<dyn StagePeers> {
         self.peers.clone()
     }
@@ -103,49 +106,51 @@
         &self.me
     }
 
-    /// Live hosts, this one included.
+    /// The live hosts, including this one.
     pub(crate) fn hosts(&self) -> Arc<[ViewHost]> {
         self.view.hosts()
     }
 
-    /// The host that composes the calls of a service in a region; none where no host is alive.
+    /// The host that composes the calls of a service in a region; none if no host is alive there.
     ///
-    /// All hosts that see the same others name the same one. Those that don't lose fullness of
-    /// calls, and at times inputs that are made again.
+    /// All hosts that see the same live hosts choose the same one. If they differ, calls are less
+    /// full, and some inputs may have to be computed again.
     pub(crate) fn owner(
         &self,
         settings: &Settings,
         service: &PoolId,
         region: &RegionId,
     ) -> Option<Owner> {
-        let near = |h: &ViewHost| settings.region_of(&h.domain) == Some(region);
-        self.pick(service.as_str().as_bytes(), near)
+        let in_region = |h: &ViewHost| settings.region_of(&h.domain) == Some(region);
+        self.pick(service.as_str().as_bytes(), in_region)
     }
 
-    /// The host that keeps what the fleet knows of a subject, or of a request that breaks targets.
+    /// The host responsible for a hash: it keeps what the fleet knows about the subject of a
+    /// prompt, or about a request that crashes targets.
     pub(crate) fn hash_owner(&self, hash: u64) -> Option<Owner> {
         self.pick(&hash.to_le_bytes(), |_| true)
     }
 
-    /// The host that reads the platform's store for a failure domain, among those that `fits` lets
-    /// pass.
+    /// The host that reads the platform's store for a failure domain, among those for which
+    /// `eligible` holds.
     pub(crate) fn store_reader(
         &self,
         domain: &DomainId,
-        fits: impl Fn(&HostId) -> bool,
+        eligible: impl Fn(&HostId) -> bool,
     ) -> Option<Owner> {
-        self.pick(domain.as_str().as_bytes(), |h| h.domain == *domain && fits(&h.host))
+        self.pick(domain.as_str().as_bytes(), |h| h.domain == *domain && eligible(&h.host))
     }
 
-    /// The host that all name for `key`, among those that are alive and fit.
-    fn pick(&self, key: &[u8], fits: impl Fn(&ViewHost) -> bool) -> Option<Owner> {
+    /// The host that all hosts choose for `key`, among the live and eligible ones that aren't
+    /// suspected of having failed.
+    fn pick(&self, key: &[u8], eligible: impl Fn(&ViewHost) -> bool) -> Option<Owner> {
         let hosts = self.view.hosts();
         let suspects = self.suspects();
         let now = self.clock.now();
-        let sound =
-            |h: &&ViewHost| fits(h) && suspects.get(&h.host).is_none_or(|until| *until <= now);
-        let sound: Vec<&ViewHost> = hosts.iter().filter(sound).collect();
-        let found = duty::holder(key, &sound, |h| h.host.as_str(), |h| h.capacity)?;
+        let available =
+            |h: &&ViewHost| eligible(h) && suspects.get(&h.host).is_none_or(|until| *until <= now);
+        let available: Vec<&ViewHost> = hosts.iter().filter(available).collect();
+        let found = duty::holder(key, &available, |h| h.host.as_str(), |h| h.capacity)?;
         Some(match found.host == self.me {
             true => Owner::Me,
             false => Owner::Peer { host: found.host.clone(), addr: found.address },
@@ -162,56 +167,63 @@
         matches!(self.owner(settings, service, region), Some(Owner::Peer { .. }))
     }
 
-    /// A call to this host failed: for a while it composes nothing for this one.
+    /// Records that a call to a host failed: for [`SUSPECT_TIME`] it is given no duties by this
+    /// host.
     pub(crate) fn suspect(&self, host: &HostId) {
-        let until = self.clock.now() + SUSPECT;
+        let until = self.clock.now() + SUSPECT_TIME;
         self.suspects().insert(host.clone(), until);
     }
 
-    /// A target broke under a request; the other hosts are told.
+    /// Queues the news that a target broke its connection under a request, for the other hosts.
     pub(crate) fn queue_crash(&self, fingerprint: u64, target: &TargetId) {
         let crash = Crash { fingerprint, target: target.as_str().to_owned() };
         // The receiver lives as long as the host.
         let _ = self.crashes.send(crash);
     }
 
-    /// A prompt was sent to an engine of `domain` that reads it for `time`; the hosts that choose
-    /// among the same engines are told.
+    /// Queues the news that a prompt was sent to an engine of `domain`, which needs `time` to read
+    /// it, for the hosts that choose among the same engines.
     pub(crate) fn queue_prompt(&self, domain: &DomainId, target: &TargetId, time: Ms) {
         let prompt = PromptSent { target: target.as_str().to_owned(), time_ms: time.0 };
         // The receiver lives as long as the host.
         let _ = self.prompts.send((domain.clone(), prompt));
     }
 
-    /// A target of `domain` names a limit, or none any more; the hosts that share it are told.
-    pub(crate) fn queue_limit(&self, domain: &DomainId, target: &TargetId, per_second: Option<f64>) {
+    /// Queues the news that a target of `domain` names a rate limit, or no longer names one, for
+    /// the hosts that share the limit.
+    pub(crate) fn queue_limit(
+        &self,
+        domain: &DomainId,
+        target: &TargetId,
+        per_second: Option<f64>,
+    ) {
         let limit = TargetLimit { target: target.as_str().to_owned(), per_second };
         // The receiver lives as long as the host.
         let _ = self.limits.send((domain.clone(), limit));
     }
 
-    /// Tells all others.
+    /// Notifies all other hosts.
     pub(crate) async fn notify_all(&self, news: HostNews) {
         self.notify(news, usize::MAX, |_| true).await;
     }
 
-    /// Tells the others of a failure domain.
+    /// Notifies other hosts of a failure domain, [`MAX_DOMAIN_AUDIENCE`] at most.
     pub(crate) async fn notify_domain(&self, domain: &DomainId, news: HostNews) {
-        self.notify(news, NEAR_TOLD, |h| h.domain == *domain).await;
+        self.notify(news, MAX_DOMAIN_AUDIENCE, |h| h.domain == *domain).await;
     }
 
-    async fn notify(&self, news: HostNews, most: usize, fits: impl Fn(&ViewHost) -> bool) {
+    async fn notify(&self, news: HostNews, most: usize, eligible: impl Fn(&ViewHost) -> bool) {
         let hosts = self.view.hosts();
         let others: Vec<&ViewHost> =
-            hosts.iter().filter(|h| h.host != self.me && fits(h)).collect();
-        let told = duty::audience(self.me.as_str(), &others, |h| h.host.as_str(), most);
-        for part in told.chunks(TOLD_AT_ONCE) {
+            hosts.iter().filter(|h| h.host != self.me && eligible(h)).collect();
+        let audience = duty::audience(self.me.as_str(), &others, |h| h.host.as_str(), most);
+        for part in audience.chunks(MAX_PARALLEL_CALLS) {
             let calls = part.iter().map(|h| self.notify_one(&h.host, h.address, news.clone()));
             futures::future::join_all(calls).await;
         }
     }
 
-    /// Tells one host.
+    /// Notifies one host.
     pub(crate) async fn notify_one(&self, host: &HostId, addr: SocketAddr, news: HostNews) {
         if let Err(err) = self.peers.news(addr, news).await {
             logs::note!(logs::Event::PeerFailed, host = %host, call = "news", why = %err);
@@ -223,13 +235,13 @@
     }
 }
 
-/// Answers other hosts' work from now on.
+/// Starts to serve the calls of other hosts.
 pub(crate) fn serve(node: &Node, stages: Arc<dyn StageServer>) {
     node.serve_stages(stages);
 }
 
-/// The node's own settings: it knows who is alive; configuration and targets come from the
-/// platform directly.
+/// The settings of the gossip node. The node only keeps track of the live hosts; configuration and
+/// targets come directly from the platform.
 fn node_settings(settings: &Settings) -> conf::Settings {
     let seeds = settings.seeds.iter().map(|address| conf::Peer {
         host: HostId::from(address.to_string()),
@@ -246,9 +258,13 @@
         platform: settings.platform,
         seeds: seeds.collect(),
         limits: conf::Limits::default(),
-        silence: conf::Silence { peer_ms: SILENCE, ..conf::Silence::default() },
+        silence: conf::Silence { peer_ms: PEER_TIMEOUT, ..conf::Silence::default() },
         journal: conf::JournalSettings::default(),
-        rates: conf::Rates { gossip_ms: GOSSIP, suspect_ms: DEAD, ..conf::Rates::default() },
+        rates: conf::Rates {
+            gossip_ms: GOSSIP_INTERVAL,
+            suspect_ms: DEAD_AFTER,
+            ..conf::Rates::default()
+        },
         drain_ms: Ms::secs(1),
         seed: 1,
     }
--- a/crates/edge/src/metrics.rs
+++ b/crates/edge/src/metrics.rs
@@ -1,4 +1,4 @@
-//! What an edge host counts, as Prometheus text.
+//! The metrics of an edge host, as Prometheus text.
 
 use base::Ms;
 use opentelemetry::KeyValue;
@@ -7,10 +7,11 @@
 use opentelemetry_sdk::metrics::SdkMeterProvider;
 use prometheus::{Encoder, Registry, TextEncoder};
 
-/// Name under which the error of a request's stages together is counted.
+/// Label under which the prediction error of all stages of a request together is recorded.
 pub(crate) const ALL_STAGES: &str = "all";
 
-/// The host's instruments. Labels are bounded by the declared routes and services.
+/// The metric instruments of the host. The number of label values is bounded by the declared routes
+/// and services.
 pub(crate) struct Metrics {
     registry: Registry,
     provider: SdkMeterProvider,
@@ -28,7 +29,7 @@
 }
 
 impl Metrics {
-    /// Sets the instruments up.
+    /// Creates the instruments.
     pub(crate) fn new() -> Result<Self, OTelSdkError> {
         let registry = Registry::new();
         let exporter =
@@ -52,7 +53,7 @@
         })
     }
 
-    /// A caller got its answer, or the first event of it, after `took`.
+    /// Counts a response, or the first event of one, that a caller got after `took`.
     pub(crate) fn answered(&self, route: &str, took: Ms, aim: Ms) {
         let time = if took <= aim { "on_time" } else { "late" };
         let route = KeyValue::new("route", route.to_owned());
@@ -60,23 +61,24 @@
         self.time.record(took.0, &[route]);
     }
 
-    /// A caller got an answer of the system's own.
+    /// Counts a request that the host itself refused.
     pub(crate) fn refused(&self, reason: &'static str) {
         self.refusals.add(1, &[KeyValue::new("reason", reason)]);
     }
 
-    /// A send to a target ended so.
+    /// Counts a send to a target by its outcome.
     pub(crate) fn sent(&self, route: &str, outcome: &'static str) {
         let route = KeyValue::new("route", route.to_owned());
         self.sends.add(1, &[route, KeyValue::new("outcome", outcome)]);
     }
 
-    /// A stage took so long from handing it in.
+    /// Records the time that a stage took from its submission.
     pub(crate) fn stage(&self, service: &str, took: Ms) {
         self.stages.record(took.0, &[KeyValue::new("service", service.to_owned())]);
     }
 
-    /// What was expected to take `expected` took `took`. `what` is a service, or [`ALL_STAGES`].
+    /// Records the difference between the expected time and the time taken. `what` is a service, or
+    /// [`ALL_STAGES`].
     pub(crate) fn predicted(&self, what: &str, expected: Ms, took: Ms) {
         let side = if took > expected { "later" } else { "sooner" };
         let error = took.0.abs_diff(expected.0);
@@ -84,43 +86,44 @@
         self.errors.record(error, &[what, KeyValue::new("side", side)]);
     }
 
-    /// A call with so many pieces was sent.
+    /// Records the number of pieces of a call that was sent.
     pub(crate) fn call(&self, service: &str, pieces: usize) {
         self.calls.record(pieces as u64, &[KeyValue::new("service", service.to_owned())]);
     }
 
-    /// The platform's store was called: `read` of the configuration, `list` or `watch` of targets.
+    /// Counts a call to the platform's store: `read` for the configuration, `list` or `watch` for
+    /// targets.
     pub(crate) fn store_call(&self, call: &'static str) {
         self.store.add(1, &[KeyValue::new("call", call)]);
     }
 
-    /// A target of a service said something of itself that was news.
+    /// Counts a change that a target of a service reported about itself.
     pub(crate) fn notice(&self, service: &str, what: &'static str) {
         let service = KeyValue::new("service", service.to_owned());
         self.notices.add(1, &[service, KeyValue::new("what", what)]);
     }
 
-    /// A stage was passed on to another region.
+    /// Counts a stage that was passed on to another region.
     pub(crate) fn passed_on(&self, service: &str) {
         self.passed.add(1, &[KeyValue::new("service", service.to_owned())]);
     }
 
-    /// A caller's connection was turned away.
+    /// Counts a caller's connection that was refused.
     pub(crate) fn refused_connection(&self) {
         self.connections.add(1, &[]);
     }
 
-    /// All of it.
+    /// All metrics in Prometheus text format.
     pub(crate) fn text(&self) -> Vec<u8> {
         let mut out = Vec::new();
-        // A family that can't be encoded leaves the others readable.
+        // A metric family that can't be encoded doesn't affect the others.
         let _ = TextEncoder::new().encode(&self.registry.gather(), &mut out);
         out
     }
 
-    /// Stops the instruments.
+    /// Shuts the instruments down.
     pub(crate) fn close(&self) {
-        // Nothing is buffered: the text is made when it is asked for.
+        // Nothing is buffered: the text is produced on request.
         let _ = self.provider.shutdown();
     }
 }
--- a/crates/edge/src/notices.rs
+++ b/crates/edge/src/notices.rs
@@ -1,4 +1,5 @@
-//! What targets say of themselves in their answers.
+//! Applies what targets report about themselves in their responses: load, rate limit, shutdown and
+//! requests to pause.
 
 use hyper::http::response::Parts;
 use logs::note;
@@ -9,9 +10,9 @@
 use crate::dialect::{ResponseHead, Notice};
 use crate::links::Link;
 
-/// Takes what a target said of itself in the head of an answer.
+/// Applies what a target reported about itself in the head of a response.
 pub(crate) fn apply(core: &Core, link: &Link, parts: &Parts, head: &ResponseHead) {
-    // Another target's address by now, and its word.
+    // The address belongs to another target now, so the report is about that one.
     if head.moved {
         return;
     }
@@ -28,26 +29,26 @@
         note!(logs::Event::TargetSaysLeaving, target = link.name());
         core.leaves(&link.entry);
     }
-    // Failures don't always say all that the target has to say.
+    // A failure response need not contain the limit, so a missing one says nothing there.
     if limit.is_some() || parts.status.is_success() {
-        take_limit(core, link, limit);
+        apply_limit(core, link, limit);
     }
 }
 
-fn take_limit(core: &Core, link: &Link, limit: Option<f64>) {
-    if hear_limit(core, link, limit).is_some() {
+fn apply_limit(core: &Core, link: &Link, limit: Option<f64>) {
+    if update_limit(core, link, limit).is_some() {
         core.members.queue_limit(&link.entry.domain, &link.life(), limit);
     }
 }
 
-/// Another host has been told of a limit, or of its end.
-pub(crate) fn apply_from_peer(core: &Core, word: &TargetLimit) {
-    if let Some(link) = core.life(&word.target) {
-        hear_limit(core, &link, word.per_second);
+/// Applies a limit, or the end of one, that another host was informed of by the target.
+pub(crate) fn apply_from_peer(core: &Core, update: &TargetLimit) {
+    if let Some(link) = core.life(&update.target) {
+        update_limit(core, &link, update.per_second);
     }
 }
 
-fn hear_limit(core: &Core, link: &Link, limit: Option<f64>) -> Option<LimitEvent> {
+fn update_limit(core: &Core, link: &Link, limit: Option<f64>) -> Option<LimitEvent> {
     let service = link.entry.service.as_str();
     let event = link.limit().named(core.clock.now(), limit)?;
     match event {
--- a/crates/edge/src/notify.rs
+++ b/crates/edge/src/notify.rs
@@ -1,4 +1,5 @@
-//! What other hosts should know at once: gathered for a moment, then told in one message each.
+//! Notifies other hosts of news that they need at once. News is collected for a moment and then
+//! sent in one message to each host.
 
 use base::{DomainId, HostId, Ms};
 use sched::poison::{Audience, audience};
@@ -11,30 +12,31 @@
 use crate::core::Core;
 use crate::members::Owner;
 
-/// Time for which crashes are gathered, ms.
-const CRASHES: Ms = Ms(50);
-/// Time for which sent prompts are gathered, ms: an engine reads a short prompt in twice that, and
-/// a host sends at most a hundred messages a second to each of the few that it tells.
-const PROMPTS: Ms = Ms(10);
-/// Time for which limits that targets name are gathered, ms.
-const LIMITS: Ms = Ms(50);
+/// Time for which crashes are collected before they are sent.
+const CRASH_WINDOW: Ms = Ms(50);
+/// Time for which sent prompts are collected. An engine reads a short prompt in twice that time,
+/// and a host sends at most a hundred messages per second to each of the few hosts that it
+/// notifies.
+const PROMPT_WINDOW: Ms = Ms(10);
+/// Time for which changes of targets' rate limits are collected.
+const LIMIT_WINDOW: Ms = Ms(50);
 
-/// Tells other hosts of crashes that this one saw.
-pub(crate) async fn crashes(core: Arc<Core>, mut told: UnboundedReceiver<Crash>) {
-    while let Some(crashes) = gather(&mut told, CRASHES).await {
-        spread(&core, crashes).await;
+/// Notifies other hosts of crashes that this host has seen.
+pub(crate) async fn crashes(core: Arc<Core>, mut queue: UnboundedReceiver<Crash>) {
+    while let Some(crashes) = collect(&mut queue, CRASH_WINDOW).await {
+        send_crashes(&core, crashes).await;
     }
 }
 
-/// Passes crashes on to whoever must know of them; see [`sched::poison`].
-async fn spread(core: &Core, crashes: Vec<Crash>) {
+/// Sends crashes to the hosts that must know of them; see [`sched::poison`].
+async fn send_crashes(core: &Core, crashes: Vec<Crash>) {
     let hosts = core.members.hosts().len();
     let breaks = |c: &Crash| core.poison().broken(c.fingerprint).len();
     let (all, counted): (Vec<Crash>, Vec<Crash>) =
         crashes.into_iter().partition(|c| audience(hosts, breaks(c)) == Audience::All);
     let mut counters: BTreeMap<HostId, (SocketAddr, Vec<Crash>)> = BTreeMap::new();
     for crash in counted {
-        // Where this host counts itself, it knows already.
+        // If this host is the one that counts, it already knows.
         if let Some(Owner::Peer { host, addr }) = core.members.hash_owner(crash.fingerprint) {
             counters.entry(host).or_insert_with(|| (addr, Vec::new())).1.push(crash);
         }
@@ -48,29 +50,31 @@
     }
 }
 
-/// Another host has told of a crash. Where this one counts the breaks of that request, and they
-/// are enough, all hosts hear of them.
+/// Records a crash that another host has reported. If this host counts the crashes of that request
+/// and there are enough of them, all hosts are notified.
 pub(crate) fn receive_crash(core: &Core, crash: &Crash) {
     let target = crash.target.as_str().into();
-    let news = core.poison().record(core.clock.now(), crash.fingerprint, &target);
+    let is_new = core.poison().record(core.clock.now(), crash.fingerprint, &target);
     let counts = matches!(core.members.hash_owner(crash.fingerprint), Some(Owner::Me));
     let broken = core.poison().broken(crash.fingerprint).to_vec();
     let hosts = core.members.hosts().len();
-    if !news || !counts || audience(hosts, broken.len()) == audience(hosts, 1) {
+    if !is_new || !counts || audience(hosts, broken.len()) == audience(hosts, 1) {
         return;
     }
-    // Those that were told to this host alone go out too.
+    // The earlier crashes, of which only this host was notified, are sent too.
     for target in broken {
         core.members.queue_crash(crash.fingerprint, &target);
     }
 }
 
-/// Tells the hosts of the engines' failure domains, which choose among the same, of prompts.
+/// Notifies the hosts of each engine's failure domain, which choose among the same engines, of the
+/// prompts sent to it.
 ///
-/// Without it an engine that is idle for one host reads another's long report: with three hosts a
-/// domain half of the prompts that were read before another were other hosts'.
-pub(crate) async fn prompts(core: Arc<Core>, mut told: UnboundedReceiver<(DomainId, PromptSent)>) {
-    while let Some(prompts) = gather(&mut told, PROMPTS).await {
+/// Without this a host may choose an engine that it takes to be idle while the engine reads a long
+/// prompt of another host. With three hosts in a domain, half of the prompts that delayed another
+/// one came from a different host.
+pub(crate) async fn prompts(core: Arc<Core>, mut queue: UnboundedReceiver<(DomainId, PromptSent)>) {
+    while let Some(prompts) = collect(&mut queue, PROMPT_WINDOW).await {
         for (domain, prompts) in by_domain(prompts) {
             let news = HostNews { prompts, ..HostNews::default() };
             core.members.notify_domain(&domain, news).await;
@@ -78,12 +82,14 @@
     }
 }
 
-/// Tells the hosts of targets' failure domains, which share a limit, that one begins or ends.
+/// Notifies the hosts of each target's failure domain, which share its rate limit, when a limit
+/// begins or ends.
 ///
-/// Without it each finds out by requests that the target can't take, and those that have no part
-/// leave the target alone for minutes after its limit has ended.
-pub(crate) async fn limits(core: Arc<Core>, mut told: UnboundedReceiver<(DomainId, TargetLimit)>) {
-    while let Some(limits) = gather(&mut told, LIMITS).await {
+/// Without this each host learns of a limit only by sending requests that the target can't take,
+/// and hosts without a share of the limit send the target nothing for minutes after the limit has
+/// ended.
+pub(crate) async fn limits(core: Arc<Core>, mut queue: UnboundedReceiver<(DomainId, TargetLimit)>) {
+    while let Some(limits) = collect(&mut queue, LIMIT_WINDOW).await {
         for (domain, limits) in by_domain(limits) {
             let news = HostNews { limits, ..HostNews::default() };
             core.members.notify_domain(&domain, news).await;
@@ -99,10 +105,11 @@
     domains
 }
 
-async fn gather<T>(told: &mut UnboundedReceiver<T>, time: Ms) -> Option<Vec<T>> {
-    let mut items = vec![told.recv().await?];
-    tokio::time::sleep(time.duration()).await;
-    while let Ok(next) = told.try_recv() {
+/// Waits for an item, and returns it together with those that arrive within `window` after it.
+async fn collect<T>(queue: &mut UnboundedReceiver<T>, window: Ms) -> Option<Vec<T>> {
+    let mut items = vec![queue.recv().await?];
+    tokio::time::sleep(window.duration()).await;
+    while let Ok(next) = queue.try_recv() {
         items.push(next);
     }
     Some(items)
--- a/crates/edge/src/plain.rs
+++ b/crates/edge/src/plain.rs
@@ -1,4 +1,5 @@
-//! Requests with one whole answer.
+//! Runs requests with a plain response, which is read completely before it is passed on, and
+//! retries them at other targets.
 
 use base::Ms;
 use bytes::Bytes;
@@ -18,31 +19,33 @@
 use crate::request::Call;
 use crate::send::{Answered, SendFault, send};
 
-/// Largest answer that is read, bytes: it is held whole, so that a cut answer is never begun.
-const ANSWER_BYTES: usize = 16 << 20;
-/// How long a target may take before an idempotent request goes to another, as a multiple of the
-/// route's aim: past that it is late anyway, and the second target has the rest of the time.
-const PATIENCE: (u64, u64) = (3, 2);
-/// Targets that are asked at most, those that did not run it included.
-const SENDS: usize = 4;
+/// Largest response in bytes. A response is buffered completely, so that one that ends early is
+/// never passed on in part.
+const MAX_RESPONSE_BYTES: usize = 16 << 20;
+/// Time-out of an attempt after which an idempotent request is sent to another target, as a
+/// fraction (numerator and denominator) of the route's latency aim. Such a request is late anyway,
+/// and the second target has the rest of the time.
+const ATTEMPT_TIMEOUT: (u64, u64) = (3, 2);
+/// Largest number of targets that are tried for one request, including those that did not run it.
+const MAX_TARGETS: usize = 4;
 
-/// How one send of it ended.
-enum Tried {
-    /// An answer that the caller may have.
-    Whole(Response<ResponseBody>),
-    /// The target says that it failed; another may do better.
+/// The outcome of one attempt.
+enum Attempt {
+    /// A response to pass on to the caller.
+    Answered(Response<ResponseBody>),
+    /// The target reports that it failed; another one may succeed.
     Failed(Response<ResponseBody>),
-    /// It was not sent: the target was closed to it by then.
-    Barred,
-    /// It did not run.
+    /// The request was not sent: by then the target could no longer get it.
+    Blocked,
+    /// The request did not run.
     NotRun,
-    /// It may have run.
+    /// The request may have run.
     Lost,
 }
 
-/// Runs it and gives the caller's answer.
+/// Runs a request and returns the response to the caller.
 pub(crate) async fn run(core: &Core, call: &Call) -> Response<ResponseBody> {
-    let again = call.route.repeat.is_idempotent();
+    let idempotent = call.route.repeat.is_idempotent();
     let mut tried: Vec<Arc<Link>> = Vec::new();
     let (mut sends, mut runs, mut failed) = (0, 0, None);
     let reason = loop {
@@ -54,47 +57,53 @@
         if sends > 0 && !core.budget().take(now, &call.service) {
             break if runs > 0 { Reason::Failed } else { Reason::NoTarget };
         }
-        let want = Want::Plain { risky: !again };
+        let want = Want::Plain { risky: !idempotent };
         let link = match choose(core, call, want, &tried) {
             Ok(link) => link,
             Err(barrier) => break if runs > 0 { Reason::Failed } else { barrier.into() },
         };
-        let more = again && runs + 1 < call.route.attempts;
-        let wait = match more {
-            true => call.route.aim.scale(PATIENCE.0, PATIENCE.1).min(left),
+        let may_retry = idempotent && runs + 1 < call.route.attempts;
+        let timeout = match may_retry {
+            true => call.route.aim.scale(ATTEMPT_TIMEOUT.0, ATTEMPT_TIMEOUT.1).min(left),
             false => left,
         };
-        let result = once(core, call, &link, wait).await;
+        let result = attempt(core, call, &link, timeout).await;
         tried.push(link.clone());
-        sends += u32::from(!matches!(result, Tried::Barred));
+        sends += u32::from(!matches!(result, Attempt::Blocked));
         match result {
-            Tried::Whole(response) => return response,
-            Tried::Barred | Tried::NotRun => {}
-            Tried::Failed(response) => {
+            Attempt::Answered(response) => return response,
+            Attempt::Blocked | Attempt::NotRun => {}
+            Attempt::Failed(response) => {
                 runs += 1;
                 failed = Some((response, link));
             }
-            Tried::Lost => runs += 1,
+            Attempt::Lost => runs += 1,
         }
-        let may = runs == 0 || (again && runs < call.route.attempts);
-        if !may || tried.len() >= SENDS {
-            let timeout = call.left(core.clock.now()) == Ms::ZERO;
+        let retryable = runs == 0 || (idempotent && runs < call.route.attempts);
+        if !retryable || tried.len() >= MAX_TARGETS {
+            let timed_out = call.left(core.clock.now()) == Ms::ZERO;
             break match () {
                 () if runs == 0 => Reason::NoTarget,
-                () if timeout => Reason::Timeout,
+                () if timed_out => Reason::Timeout,
                 () => Reason::Failed,
             };
         }
     };
-    // A target's own failure says more than ours.
+    // A target's own failure response tells the caller more than one of this host.
     if let Some((response, target)) = failed {
-        passed_on(core, call, &response, &target, runs);
+        note_passed_on(core, call, &response, &target, runs);
         return response;
     }
     give_up(core, call, reason, tried.len(), runs)
 }
 
-fn passed_on(core: &Core, call: &Call, response: &Response<ResponseBody>, target: &Link, runs: u32) {
+fn note_passed_on(
+    core: &Core,
+    call: &Call,
+    response: &Response<ResponseBody>,
+    target: &Link,
+    runs: u32,
+) {
     let now = core.clock.now();
     note!(
         logs::Event::FailurePassedOn,
@@ -108,13 +117,13 @@
     );
 }
 
-async fn once(core: &Core, call: &Call, link: &Arc<Link>, wait: Ms) -> Tried {
-    let begun = core.clock.now();
+async fn attempt(core: &Core, call: &Call, link: &Arc<Link>, timeout: Ms) -> Attempt {
+    let started = core.clock.now();
     let build = || call.target_request(headers(core, call, link, &[], call.head.last_event, None));
-    let result = send(core, link, &call.head.id, wait, build).await;
+    let result = send(core, link, &call.head.id, timeout, build).await;
     let answered = match result {
         Ok(answered) => answered,
-        Err(fault) => return lost(core, call, link, fault),
+        Err(fault) => return attempt_failed(core, call, link, fault),
     };
     let head = answered.head;
     if head.not_run {
@@ -122,26 +131,26 @@
         link.record(core.clock.now(), outcome);
         core.metrics.sent(&call.route.name, "not_run");
         answered.lease.close();
-        return Tried::NotRun;
+        return Attempt::NotRun;
     }
-    let Ok((parts, body)) = read(answered, begun + wait - core.clock.now()).await else {
+    let Ok((parts, body)) = read(answered, started + timeout - core.clock.now()).await else {
         link.record(core.clock.now(), Outcome::Broken);
-        return lost(core, call, link, SendFault::Broken);
+        return attempt_failed(core, call, link, SendFault::Broken);
     };
     let now = core.clock.now();
     let status = parts.status;
-    let sound = !status.is_success() || (head.signed && !head.encoded);
-    if !sound {
+    let valid = !status.is_success() || (head.signed && !head.encoded);
+    if !valid {
         link.record(now, Outcome::Broken);
-        return lost(core, call, link, SendFault::Mismatch);
+        return attempt_failed(core, call, link, SendFault::Mismatch);
     }
-    let response = answer(core, &parts, body);
+    let response = build_response(core, &parts, body);
     if status.is_server_error() {
         link.record(now, Outcome::Failed);
         core.metrics.sent(&call.route.name, "failed");
-        return Tried::Failed(response);
+        return Attempt::Failed(response);
     }
-    link.record(now, Outcome::Good(now - begun));
+    link.record(now, Outcome::Good(now - started));
     core.poison().clear(call.fingerprint);
     core.metrics.sent(&call.route.name, "good");
     core.metrics.answered(&call.route.name, now - call.arrived, call.route.aim);
@@ -158,20 +167,20 @@
             stands_for
         );
     }
-    Tried::Whole(response)
+    Attempt::Answered(response)
 }
 
-async fn read(answered: Answered, wait: Ms) -> Result<(Parts, Bytes), link::LinkError> {
+async fn read(answered: Answered, timeout: Ms) -> Result<(Parts, Bytes), link::LinkError> {
     let Answered { parts, body, lease, .. } = answered;
-    let read = link::read(body, ANSWER_BYTES);
-    let body = tokio::time::timeout(wait.duration(), read)
+    let read = link::read(body, MAX_RESPONSE_BYTES);
+    let body = tokio::time::timeout(timeout.duration(), read)
         .await
         .map_err(|_| link::LinkError::Silent)??;
     lease.close();
     Ok((parts, body))
 }
 
-fn lost(core: &Core, call: &Call, link: &Link, fault: SendFault) -> Tried {
+fn attempt_failed(core: &Core, call: &Call, link: &Link, fault: SendFault) -> Attempt {
     note!(
         logs::Event::AttemptFailed,
         request = %call.head.id,
@@ -184,24 +193,24 @@
         report_crash(core, call, link);
     }
     match fault {
-        SendFault::Barred(_) => Tried::Barred,
-        _ if fault.unsent() => Tried::NotRun,
-        _ => Tried::Lost,
+        SendFault::Barred(_) => Attempt::Blocked,
+        _ if fault.unsent() => Attempt::NotRun,
+        _ => Attempt::Lost,
     }
 }
 
-/// A target broke its connection while it owed the answer: if the request is to blame, all hosts
-/// must know.
+/// Records that a target broke its connection before its response was complete. If the request is
+/// to blame, all hosts must know, so the other hosts are notified of a crash that isn't known yet.
 pub(crate) fn report_crash(core: &Core, call: &Call, link: &Link) {
     let now = core.clock.now();
     let life = link.life();
-    let news = core.poison().record(now, call.fingerprint, &life);
-    if news {
+    let is_new = core.poison().record(now, call.fingerprint, &life);
+    if is_new {
         core.members.queue_crash(call.fingerprint, &life);
     }
 }
 
-/// Headers for a target.
+/// The headers of a request to a target.
 pub(crate) fn headers(
     core: &Core,
     call: &Call,
@@ -210,7 +219,7 @@
     last_event: Option<u64>,
     fetch: Option<SocketAddr>,
 ) -> HeaderMap {
-    let onward = ForwardFields {
+    let fields = ForwardFields {
         deadline: call.left(core.clock.now()),
         target: link.name(),
         workspace: call.workspace.as_ref().map(|w| w.name.as_str()),
@@ -218,10 +227,10 @@
         last_event,
         fetch,
     };
-    core.dialect.forward_headers(&call.parts.headers, &onward)
+    core.dialect.forward_headers(&call.parts.headers, &fields)
 }
 
-fn answer(core: &Core, parts: &Parts, body: Bytes) -> Response<ResponseBody> {
+fn build_response(core: &Core, parts: &Parts, body: Bytes) -> Response<ResponseBody> {
     let mut response = Response::new(full_body(body));
     *response.status_mut() = parts.status;
     *response.headers_mut() = core.dialect.response_headers(&parts.headers);
--- a/crates/edge/src/refusal.rs
+++ b/crates/edge/src/refusal.rs
@@ -1,4 +1,4 @@
-//! Answers of the system's own.
+//! Responses by which the host itself refuses a request.
 
 use base::Ms;
 use hyper::{Response, StatusCode, header};
@@ -11,51 +11,54 @@
 use crate::gate::BlockReason;
 use crate::request::Call;
 
-/// Time after which a caller asks another host that may send more to a target than this one, ms.
-const OTHERS_TURN: Ms = Ms(1_000);
+/// Longest time that a caller is told to wait for a target that has paused or limited this host. It
+/// then asks another host, which may be allowed to send the target more.
+const MAX_TARGET_WAIT: Ms = Ms(1_000);
 
-/// Why a request gets no target's answer.
+/// Why a request gets no response of a target.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 pub(crate) enum Reason {
-    /// It can't be read.
+    /// Its head can't be parsed.
     Unreadable(RequestHeadError),
     /// Its body is larger than allowed.
     TooLarge,
-    /// Its body did not come whole.
+    /// Its body did not arrive completely.
     BodyBroken,
-    /// No route has its host and path.
+    /// No route matches its host and path.
     NoRoute,
-    /// Its key is not known.
+    /// Its API key is unknown.
     NoKey,
     /// This host has no configuration yet.
     NoConfig,
-    /// This host can't prove that the key is still good.
+    /// This host can't prove that the key is still valid.
     Unproved,
     /// This host is stopping.
     Stopping,
-    /// Its time ran out before anything was sent.
+    /// Its deadline passed before anything was sent.
     NoTime,
-    /// No target takes it.
+    /// No target accepts it.
     NoTarget,
-    /// The regions of its route and of its workspace exclude each other.
+    /// Its route and its workspace have no allowed region in common.
     Nowhere,
     /// No target is in a region that it may be in.
     Outside,
     /// Its targets are in evacuated failure domains.
     Evacuated,
-    /// Its targets have turned requests of this host away, and want none for so long.
+    /// Its targets have rejected requests of this host, and want none for this time.
     Paused(Ms),
-    /// Its targets name a limit and have had this host's part of it. It may send more in this time.
+    /// Its targets name a rate limit, and this host has used its share of it. It may send the next
+    /// request after this time.
     Limited(Ms),
-    /// Its targets have just started and stand no more. They do after this time.
+    /// Its targets have just started and get no more requests for now. They get more after this
+    /// time.
     Cold(Ms),
-    /// Its stages can't be done. What stands in the way is over in this time.
+    /// Its stages can't be completed. The obstacle is expected to be gone after this time.
     Stages(Ms),
     /// It crashes the targets that run it.
     Poison,
-    /// A target failed under it, and it may have run.
+    /// A target failed while it had the request, which may have run.
     Failed,
-    /// Its time ran out while a target had it.
+    /// Its deadline passed while a target had it.
     Timeout,
 }
 
@@ -65,15 +68,15 @@
             BlockReason::NoTarget | BlockReason::Leaving => Self::NoTarget,
             BlockReason::Outside => Self::Outside,
             BlockReason::Evacuated => Self::Evacuated,
-            BlockReason::Paused(rest) => Self::Paused(rest),
-            BlockReason::Limited(rest) => Self::Limited(rest),
-            BlockReason::Cold(rest) => Self::Cold(rest),
+            BlockReason::Paused(wait) => Self::Paused(wait),
+            BlockReason::Limited(wait) => Self::Limited(wait),
+            BlockReason::Cold(wait) => Self::Cold(wait),
         }
     }
 }
 
 impl Reason {
-    /// Its name in logs and metrics.
+    /// The name in responses, logs and metrics.
     pub(crate) const fn name(self) -> &'static str {
         match self {
             Self::Unreadable(_) => "unreadable",
@@ -105,7 +108,7 @@
             Self::TooLarge => StatusCode::PAYLOAD_TOO_LARGE,
             Self::NoRoute => StatusCode::NOT_FOUND,
             Self::NoKey => StatusCode::UNAUTHORIZED,
-            // Each of these says that the request has not run and never will.
+            // For all of these the request has not run and never will.
             Self::NoConfig
             | Self::Unproved
             | Self::Stopping
@@ -123,17 +126,19 @@
         }
     }
 
-    /// When what stands in the way is expected to be over, ms.
-    const fn over(self) -> Option<Ms> {
+    /// Time after which the obstacle is expected to be gone.
+    const fn retry_delay(self) -> Option<Ms> {
         match self {
-            // Another host can serve it now.
+            // Another host can serve the request now.
             Self::Unproved | Self::Stopping | Self::NoConfig => Some(Ms(50)),
-            // A target comes back, or its ejection ends.
+            // By then a target may have come back, or its ejection ended.
             Self::NoTarget | Self::Outside => Some(Ms(500)),
-            // Longer than an operator needs to take it back.
+            // Longer than an operator needs to end the evacuation.
             Self::Evacuated => Some(Ms(1_000)),
-            // Another host may be welcome there, or have a larger part.
-            Self::Paused(wait) | Self::Limited(wait) if wait.0 > OTHERS_TURN.0 => Some(OTHERS_TURN),
+            // The target may accept requests of another host, or that host may have a larger share.
+            Self::Paused(wait) | Self::Limited(wait) if wait.0 > MAX_TARGET_WAIT.0 => {
+                Some(MAX_TARGET_WAIT)
+            }
             Self::Paused(wait) | Self::Limited(wait) => Some(wait),
             Self::Stages(wait) | Self::Cold(wait) => Some(wait),
             _ => None,
@@ -177,7 +182,7 @@
     detail: String,
 }
 
-/// Gives a call up: its answer, with the line that explains it.
+/// Refuses an admitted request: logs and counts the reason, and returns the response.
 pub(crate) fn give_up(
     core: &Core,
     call: &Call,
@@ -202,9 +207,10 @@
     refuse(core, &call.head.id, reason, left)
 }
 
-/// The answer for a reason. `left` is the time that the caller still has.
+/// The response for a reason. `left` is the time that the caller still has.
 pub(crate) fn refuse(core: &Core, id: &str, reason: Reason, left: Ms) -> Response<ResponseBody> {
-    let retry = reason.over().map(|over| sched::comeback::retry_after(over, left, core.draw()));
+    let retry =
+        reason.retry_delay().map(|delay| sched::comeback::retry_after(delay, left, core.draw()));
     let problem = Problem { code: reason.name(), detail: reason.detail() };
     // Two strings always serialize.
     let mut response = Response::new(full_body(serde_json::to_vec(&problem).unwrap_or_default()));
--- a/crates/edge/src/reload.rs
+++ b/crates/edge/src/reload.rs
@@ -1,4 +1,4 @@
-//! Changed settings: on a signal, or found by looking.
+//! Reloads the settings when a signal announces a change or when the file is found changed.
 
 use base::Ms;
 use logs::note;
@@ -10,22 +10,23 @@
 use crate::core::Core;
 use crate::settings::Settings;
 
-/// Time between looks at the file, ms: it may change without a signal.
-const LOOK: Ms = Ms::secs(1);
+/// Interval between checks of the file, which may change without a signal.
+const CHECK_INTERVAL: Ms = Ms::secs(1);
 
-/// Keeps the settings those of the file. A message says that it has changed.
+/// Keeps the settings in line with the file. Each message on `changed` says that the file has
+/// changed.
 pub(crate) async fn follow(core: Arc<Core>, path: PathBuf, mut changed: mpsc::Receiver<()>) {
-    let mut seen = stamp(&path);
+    let mut last = file_stamp(&path);
     loop {
-        let told = tokio::select! {
-            told = changed.recv() => told.is_some(),
-            () = tokio::time::sleep(LOOK.duration()) => false,
+        let signalled = tokio::select! {
+            message = changed.recv() => message.is_some(),
+            () = tokio::time::sleep(CHECK_INTERVAL.duration()) => false,
         };
-        let now = stamp(&path);
-        if !told && now == seen {
+        let current = file_stamp(&path);
+        if !signalled && current == last {
             continue;
         }
-        seen = now;
+        last = current;
         reload(&core, &path);
     }
 }
@@ -41,8 +42,8 @@
     }
 }
 
-/// When the file changed last and how long it is; none while it can't be looked at.
-fn stamp(path: &std::path::Path) -> Option<(SystemTime, u64)> {
+/// The file's modification time and length; none while they can't be read.
+fn file_stamp(path: &std::path::Path) -> Option<(SystemTime, u64)> {
     let meta = std::fs::metadata(path).ok()?;
     Some((meta.modified().ok()?, meta.len()))
 }
--- a/crates/edge/src/request.rs
+++ b/crates/edge/src/request.rs
@@ -1,4 +1,5 @@
-//! A caller's request: read, checked, and handed to what serves its kind.
+//! Reads and checks a caller's request, and passes it to [`plain`] or [`stream`] by the kind of its
+//! route.
 
 use base::{Ms, PoolId, hash_parts};
 use bytes::Bytes;
@@ -18,41 +19,42 @@
 use crate::refusal::{Reason, refuse};
 use crate::{plain, stream};
 
-/// Time for which a request without a deadline of its own is kept where its route says nothing.
-const NO_DEADLINE: Ms = Ms::secs(60);
+/// Deadline of a request that names none, where the time-out of its route isn't shorter.
+const DEFAULT_DEADLINE: Ms = Ms::secs(60);
 
-/// A request that may be served.
+/// A request that has been admitted.
 pub(crate) struct Call {
     pub(crate) head: RequestHead,
     pub(crate) route: Arc<Route>,
-    /// The service that runs it.
+    /// The service whose targets run it.
     pub(crate) service: PoolId,
-    /// The configuration that it is served by, to its end.
+    /// The configuration that applies to it until it ends, also if a newer one comes into force.
     pub(crate) catalog: Arc<Catalog>,
     pub(crate) workspace: Option<Arc<Workspace>>,
-    /// Regions that it may be in, with all that is made for it.
+    /// The regions that it may be in, together with everything that is computed for it.
     pub(crate) residency: Residency,
     pub(crate) parts: Parts,
     pub(crate) body: Bytes,
     pub(crate) arrived: Ms,
-    /// When it is given up on.
+    /// When its time is over.
     pub(crate) deadline: Ms,
-    /// The same for the same request sent again.
+    /// Hash of route, path, workspace and body: the same if the caller sends the same request
+    /// again.
     pub(crate) fingerprint: u64,
 }
 
 impl Call {
-    /// Its rank; 0 is the most urgent.
+    /// Its priority; 0 is the most urgent.
     pub(crate) fn rank(&self) -> u8 {
         self.workspace.as_ref().and_then(|w| w.priority).unwrap_or(self.route.priority)
     }
 
-    /// Time left at `now`.
+    /// The time left at `now`.
     pub(crate) fn left(&self, now: Ms) -> Ms {
         self.deadline - now
     }
 
-    /// Method, path and body for a target, with its headers.
+    /// The request to a target: method, path and body of the caller's request, with these headers.
     pub(crate) fn target_request(&self, headers: hyper::HeaderMap) -> Request<Bytes> {
         let mut request = Request::new(self.body.clone());
         *request.method_mut() = self.parts.method.clone();
@@ -62,19 +64,19 @@
     }
 }
 
-/// Answers a request.
+/// Serves a request.
 pub(crate) async fn handle(app: Arc<App>, request: Request<Incoming>) -> Response<ResponseBody> {
     let core = app.core.clone();
     let arrived = core.clock.now();
     core.open().fetch_add(1, Ordering::Relaxed);
-    let _open = Open(app.clone());
+    let _open = OpenGuard(app.clone());
     let (parts, body) = request.into_parts();
     let head = match core.dialect.parse_request(&parts) {
         Ok(head) => head,
         Err(err) => return refuse(&core, "", Reason::Unreadable(err), Ms::ZERO),
     };
     let id = head.id.clone();
-    let waits = Waits { core: core.clone(), request: id.clone(), arrived, answered: false };
+    let waiting = Waiting { core: core.clone(), request: id.clone(), arrived, answered: false };
     let mut response = match admit(&app, arrived, head, parts, body).await {
         Ok(call) if call.route.repeat.is_stream() => stream::run(app.clone(), call).await,
         Ok(call) => plain::run(&core, &call).await,
@@ -91,40 +93,41 @@
             refuse(&core, &id, reason, left)
         }
     };
-    waits.close();
+    waiting.answered();
     if core.stopping() {
-        // The caller's next request goes to a host that stays.
+        // Makes the caller send its next request to a host that isn't stopping.
         let close = header::HeaderValue::from_static("close");
         response.headers_mut().insert(header::CONNECTION, close);
     }
     response
 }
 
-/// Counts a request as open until its answer's head is given.
-struct Open(Arc<App>);
+/// Counts a request as open until the head of its response is ready.
+struct OpenGuard(Arc<App>);
 
-impl Drop for Open {
+impl Drop for OpenGuard {
     fn drop(&mut self) {
         self.0.core.open().fetch_sub(1, Ordering::Relaxed);
     }
 }
 
-/// A caller that waits for the head of its answer. Dropped before that, the caller has left: its
-/// request is dropped with its connection, and no other line would tell what came of it.
-struct Waits {
+/// A caller that waits for the head of its response. If it is dropped before that, the caller has
+/// closed its connection. The request is dropped with the connection, and no other log line would
+/// say what became of it.
+struct Waiting {
     core: Arc<Core>,
     request: Arc<str>,
     arrived: Ms,
     answered: bool,
 }
 
-impl Waits {
-    fn close(mut self) {
+impl Waiting {
+    fn answered(mut self) {
         self.answered = true;
     }
 }
 
-impl Drop for Waits {
+impl Drop for Waiting {
     fn drop(&mut self) {
         if self.answered {
             return;
@@ -142,8 +145,8 @@
     body: Incoming,
 ) -> Result<Call, (Reason, Ms)> {
     let core = &app.core;
-    let asked = head.deadline.unwrap_or(NO_DEADLINE);
-    let refused = |reason| (reason, asked);
+    let requested = head.deadline.unwrap_or(DEFAULT_DEADLINE);
+    let refused = |reason| (reason, requested);
     let catalog = core.catalog().ok_or(refused(Reason::NoConfig))?;
     let host = parts.headers.get(header::HOST).and_then(|h| h.to_str().ok());
     let host = host.or(parts.uri.host()).unwrap_or_default();
@@ -167,12 +170,12 @@
     if residency.is_nowhere() {
         return Err(refused(Reason::Nowhere));
     }
-    let time = asked.min(route.timeout);
+    let time = requested.min(route.timeout);
     if time == Ms::ZERO {
         return Err(refused(Reason::NoTime));
     }
     let deadline = arrived + time;
-    let body = read(body, catalog.limits.body_bytes, time).await.map_err(refused)?;
+    let body = read_body(body, catalog.limits.body_bytes, time).await.map_err(refused)?;
     let name = workspace.as_ref().map_or("", |w| w.name.as_str());
     let path = parts.uri.path_and_query().map_or("", |p| p.as_str());
     let fingerprint = hash_parts(&[route.name.as_bytes(), path.as_bytes(), name.as_bytes(), &body]);
@@ -197,9 +200,9 @@
     })
 }
 
-async fn read(body: Incoming, limit: usize, time: Ms) -> Result<Bytes, Reason> {
-    let whole = Limited::new(body, limit).collect();
-    match tokio::time::timeout(time.duration(), whole).await {
+async fn read_body(body: Incoming, limit: usize, timeout: Ms) -> Result<Bytes, Reason> {
+    let collected = Limited::new(body, limit).collect();
+    match tokio::time::timeout(timeout.duration(), collected).await {
         Ok(Ok(body)) => Ok(body.to_bytes()),
         Ok(Err(err)) if err.is::<LengthLimitError>() => Err(Reason::TooLarge),
         Ok(Err(_)) => Err(Reason::BodyBroken),
--- a/crates/edge/src/settings.rs
+++ b/crates/edge/src/settings.rs
@@ -13,31 +13,31 @@
     /// The file can't be read.
     #[error("can't read the settings {path}: {source}")]
     Read {
-        /// Which file.
+        /// The path of the file.
         path: String,
-        /// Why.
+        /// The cause.
         source: std::io::Error,
     },
-    /// The text is no settings file.
-    #[error("the settings can't be read: {0}")]
+    /// The text isn't a valid settings file.
+    #[error("can't parse the settings: {0}")]
     Parse(#[from] serde_saphyr::Error),
-    /// This host's failure domain has no region.
+    /// The settings name no region for the host's own failure domain.
     #[error("domains: name the region of {0}, the host's own failure domain")]
     Domain(DomainId),
-    /// The host has no processor.
+    /// The number of cores isn't above 0.
     #[error("cores: must be above 0")]
     Cores,
-    /// A bound has no sense.
+    /// A bound is out of range.
     #[error("bounds.{field}: must be {range}")]
     Range {
-        /// Which.
+        /// The field of [`Bounds`].
         field: &'static str,
-        /// What is allowed.
+        /// The allowed values.
         range: &'static str,
     },
 }
 
-/// What one edge host is told at its start, as YAML.
+/// The settings of one edge host, read from YAML.
 #[derive(Clone, Debug, PartialEq, Deserialize)]
 #[serde(deny_unknown_fields)]
 pub struct Settings {
@@ -47,24 +47,25 @@
     pub domain: DomainId,
     /// The region of every failure domain.
     pub domains: HashMap<DomainId, RegionId>,
-    /// Where callers connect.
+    /// Address that callers connect to.
     pub listen: SocketAddr,
-    /// Where the platform asks whether the host takes requests.
+    /// Address at which the platform checks whether the host is ready.
     pub ready: SocketAddr,
-    /// Where other hosts connect.
+    /// Address that other hosts connect to.
     pub peer: SocketAddr,
-    /// Where metrics are served as text. Default: nowhere.
+    /// Address at which metrics are served as text. Default: none.
     #[serde(default)]
     pub metrics: Option<SocketAddr>,
-    /// The platform's store.
+    /// Address of the platform's store.
     pub platform: SocketAddr,
-    /// Hosts to learn the others from; some may be gone.
+    /// Hosts from which to learn of the others. Some of them may no longer exist.
     #[serde(default)]
     pub seeds: Vec<SocketAddr>,
-    /// Its share of a processor: duties of one host for many go to large ones. Default 1.
+    /// Processor cores of the host, fractions included. Duties that one host has for many go to
+    /// hosts with more of them. Default 1.
     #[serde(default = "one_core")]
     pub cores: f64,
-    /// What is promised to the platform.
+    /// Time bounds and allowances that the platform requires.
     #[serde(default)]
     pub bounds: Bounds,
 }
@@ -73,29 +74,30 @@
 #[derive(Clone, Debug, PartialEq, Deserialize)]
 #[serde(default, deny_unknown_fields)]
 pub struct Bounds {
-    /// Whether a key that was taken away must stop working on every host within `revoke_ms`, also
-    /// on one that can't reach the store. Default true.
+    /// Whether a revoked key must stop working on every host within `revoke_ms`, even on a host
+    /// that can't reach the store. Default true.
     pub revoke_strict: bool,
-    /// See `revoke_strict`. Default 5000.
+    /// See `revoke_strict`, ms. Default 5000.
     pub revoke_ms: Ms,
     /// Time within which a new version of the configuration must be in force, ms. Default 2500.
     pub config_ms: Ms,
-    /// Time within which a leaving target gets nothing new. Default 2500.
+    /// Time after which a draining target must get nothing new, ms. Default 2500.
     pub drain_ms: Ms,
-    /// Time within which targets of an evacuated failure domain get nothing new. Default: domains
-    /// are never evacuated.
+    /// Time after which targets of an evacuated failure domain must get nothing new, ms. Default:
+    /// none, domains are never evacuated.
     pub evacuate_ms: Option<Ms>,
-    /// Time between registrations of a target. Default 1200.
+    /// Interval at which a target renews its registration, ms. Default 1200.
     pub heartbeat_ms: Ms,
-    /// What a cold target may get in a second, as a multiple of its service's rate. Default 1.
+    /// Requests that a cold target may get per second, as a multiple of its service's rate. Default
+    /// 1.
     pub cold_factor: Option<f64>,
-    /// Requests that a cold target may get in a second besides. Default 0.
+    /// Requests that a cold target may get per second in addition. Default 0.
     pub cold_slack: Option<f64>,
     /// Time from the signal to stop until the process is killed, s. Default 8.
     pub grace_s: f64,
-    /// Second sends to a service for each request, over the fleet. Default 0.2.
+    /// Retries that the fleet may send to a service for each request. Default 0.2.
     pub retry_ratio: f64,
-    /// Second sends to a service besides, in a window over the fleet. Default 50.
+    /// Retries that the fleet may send to a service in addition in each window. Default 50.
     pub retry_slack: f64,
     /// Length of such a window, s. Default 10.
     pub retry_window_s: f64,
@@ -125,13 +127,13 @@
 }
 
 impl Settings {
-    /// Reads and checks a file.
+    /// Reads and validates a file.
     pub fn read(path: &Path) -> Result<Self, SettingsError> {
         let failed = |source| SettingsError::Read { path: path.display().to_string(), source };
         Self::parse(&std::fs::read_to_string(path).map_err(failed)?)
     }
 
-    /// Parses and checks YAML. Unknown fields are refused with line and column.
+    /// Parses and validates YAML. Unknown fields are rejected with line and column.
     pub fn parse(yaml: &str) -> Result<Self, SettingsError> {
         let settings: Self = serde_saphyr::from_str(yaml)?;
         if !settings.domains.contains_key(&settings.domain) {
@@ -167,7 +169,7 @@
             ("retry_slack", retry_slack >= 0.0, "at least 0"),
             ("retry_window_s", retry_window_s > 0.0, "above 0"),
         ];
-        match ranges.into_iter().find(|(_, good, _)| !good) {
+        match ranges.into_iter().find(|(_, valid, _)| !valid) {
             Some((field, _, range)) => Err(SettingsError::Range { field, range }),
             None => Ok(settings),
         }
--- a/crates/edge/src/source.rs
+++ b/crates/edge/src/source.rs
@@ -1,4 +1,5 @@
-//! Follows the host of the failure domain that reads the platform's store; see [`sched::source`].
+//! Keeps what this host knows of the platform's store current without reading the store: it queries
+//! the host of its failure domain that reads it. See [`sched::source`].
 
 use base::{HostId, Ms};
 use catalog::Proof;
@@ -14,47 +15,48 @@
 use crate::members::Owner;
 use crate::shared;
 
-/// Time from the start until a host asks others, ms: by then it knows them. Asked sooner, each of
-/// a fleet that starts at once would name another reader.
-const SETTLE: Ms = Ms(1_000);
-/// Part of the time after which a key that was taken away must not work that a query waits for
-/// news, percent. With it goes the time between two reads and one query that is lost.
-const WAIT_KEYS: u64 = 20;
-/// The same of the time in which a leaving target must get nothing new: two readers in a row may
-/// be lost.
-const WAIT_TARGETS: u64 = 24;
-/// The same of the time in which an evacuated failure domain must get nothing.
-const WAIT_EVACUATION: u64 = 20;
-/// Time between looks at who reads, while it is this host, ms.
-const LOOK: Ms = Ms(250);
+/// Time from the start until a host queries others. By then it knows them. Without this wait each
+/// host of a fleet that starts at the same time would choose another reader.
+const STARTUP_TIME: Ms = Ms(1_000);
+/// Longest wait of a query for changes, in percent of the time after which a revoked key must no
+/// longer work. The rest of that time allows for the interval between two reads and for one lost
+/// query.
+const KEY_WAIT_PERCENT: u64 = 20;
+/// The same in percent of the time after which a draining target must get nothing new. Two readers
+/// in a row may be lost within that time.
+const TARGET_WAIT_PERCENT: u64 = 24;
+/// The same in percent of the time after which an evacuated failure domain must get nothing.
+const EVACUATION_WAIT_PERCENT: u64 = 20;
+/// Interval between checks which host is the reader, while it is this host.
+const CHECK_INTERVAL: Ms = Ms(250);
 
-/// What a host does next.
-enum Next {
-    /// Nothing; it reads the store itself, or has just begun.
-    Rest,
-    /// Asks another.
-    Ask(HostId, SocketAddr),
+/// What this host does next.
+enum Step {
+    /// It waits: it reads the store itself, or has just started.
+    Wait,
+    /// It queries another host.
+    Query(HostId, SocketAddr),
 }
 
-/// Keeps what is known of the store current by asking whoever reads it.
+/// Keeps what is known of the store current by querying the host that reads it.
 pub(crate) async fn follow(core: Arc<Core>, directory: Arc<dyn Directory>) {
-    let begun = core.clock.now();
+    let started = core.clock.now();
     let mut proved = true;
     loop {
-        let next = match core.clock.now() - begun < SETTLE {
-            true => settle(&core),
-            false => next(&core),
+        let step = match core.clock.now() - started < STARTUP_TIME {
+            true => startup_step(&core),
+            false => next_step(&core),
         };
-        match next {
-            Next::Rest => tokio::time::sleep(LOOK.duration()).await,
-            Next::Ask(host, addr) => ask(&core, directory.as_ref(), &host, addr).await,
+        match step {
+            Step::Wait => tokio::time::sleep(CHECK_INTERVAL.duration()).await,
+            Step::Query(host, addr) => query(&core, directory.as_ref(), &host, addr).await,
         }
         core.expire();
         note_proof(&core, &mut proved);
     }
 }
 
-/// Says once that keys can't be served any more, or can again.
+/// Logs when the proof that keys are valid is lost and when it is back, once each.
 fn note_proof(core: &Core, proved: &mut bool) {
     match (core.proof(), *proved) {
         (Proof::Stale { age }, true) => {
@@ -69,54 +71,57 @@
     }
 }
 
-/// A host that has just started reads until it holds all, and then waits for word of the others.
-fn settle(core: &Core) -> Next {
+/// The step of a host that has just started: it reads the store until it has loaded everything, and
+/// then waits to learn of the other hosts.
+fn startup_step(core: &Core) -> Step {
     core.set_reading(!loaded(core) || core.sources().reads(core.clock.now()));
-    Next::Rest
+    Step::Wait
 }
 
 fn loaded(core: &Core) -> bool {
     core.version().is_some() && core.revision().is_some() && core.knows_evacuations()
 }
 
-fn next(core: &Core) -> Next {
+fn next_step(core: &Core) -> Step {
     let now = core.clock.now();
-    let named = named(core, now);
-    if matches!(named, Some(Owner::Me)) && core.blind() {
-        // The store turns this host away, or it is cut off: another may still be served.
+    let reader = reader(core, now);
+    if matches!(reader, Some(Owner::Me)) && core.blind() {
+        // The store rejects the calls of this host, or can't be reached from it. Another host may
+        // still be served.
         core.sources().failed(now, core.members.me(), SourceFault::Blind);
     }
     let asked = core.sources().reads(now);
-    match named {
+    match reader {
         Some(Owner::Peer { host, addr }) => {
             core.set_reading(asked || !loaded(core));
-            Next::Ask(host, addr)
+            Step::Query(host, addr)
         }
         Some(Owner::Me) | None => {
             core.set_reading(true);
-            Next::Rest
+            Step::Wait
         }
     }
 }
 
-/// The host that is named to read, of those that have not failed lately.
-fn named(core: &Core, now: Ms) -> Option<Owner> {
+/// The host that is to read the store, chosen among those that have not failed recently.
+fn reader(core: &Core, now: Ms) -> Option<Owner> {
     let sources = core.sources();
     core.members.store_reader(&core.settings().domain, |host| sources.fits(now, host))
 }
 
-fn wait(core: &Core) -> Ms {
+/// Longest wait of a query for changes.
+fn query_wait(core: &Core) -> Ms {
     let bounds = &core.settings().bounds;
-    let evacuation = bounds.evacuate_ms.map_or(Ms::MAX, |b| b.scale(WAIT_EVACUATION, 100));
-    let targets = bounds.drain_ms.scale(WAIT_TARGETS, 100);
-    bounds.revoke_ms.scale(WAIT_KEYS, 100).min(targets).min(evacuation)
+    let evacuation = bounds.evacuate_ms.map_or(Ms::MAX, |b| b.scale(EVACUATION_WAIT_PERCENT, 100));
+    let targets = bounds.drain_ms.scale(TARGET_WAIT_PERCENT, 100);
+    bounds.revoke_ms.scale(KEY_WAIT_PERCENT, 100).min(targets).min(evacuation)
 }
 
-async fn ask(core: &Arc<Core>, directory: &dyn Directory, host: &HostId, addr: SocketAddr) {
+async fn query(core: &Arc<Core>, directory: &dyn Directory, host: &HostId, addr: SocketAddr) {
     let query = StoreQuery {
         version: core.version().unwrap_or_default(),
         revision: core.revision().unwrap_or_default(),
-        wait_ms: wait(core).0,
+        wait_ms: query_wait(core).0,
         urgent: core.blind(),
         evacuation: core.gate.evacuations().known().unwrap_or_default(),
     };
@@ -140,10 +145,10 @@
     }
 }
 
-/// Reads the store itself once, since the host that was asked is kept from it.
+/// Reads the store once, since the host that was queried can't.
 ///
-/// The store may turn away that host and the next ones alike, and serve this one: asked one after
-/// the other they would use up the time in which a change must be in force here.
+/// The store may reject the calls of that host and of the next ones, but serve this one. Querying
+/// them one after the other would use up the time within which a change must be in force here.
 async fn read_once(core: &Core, directory: &dyn Directory) {
     if let Err(err) = follow::once(core, directory).await {
         note!(logs::Event::PlatformDown, what = "once", why = %err);
--- a/crates/edge/tests/settings.rs
+++ b/crates/edge/tests/settings.rs
@@ -1,4 +1,4 @@
-//! Settings: what is read, and what an error says.
+//! Settings: which texts are accepted, and what the errors say.
 
 use base::Ms;
 use edge::Settings;
@@ -14,7 +14,7 @@
 ";
 
 #[test]
-fn only_addresses_and_places_are_needed() {
+fn only_addresses_and_domains_are_required() {
     let settings = Settings::parse(GOOD).unwrap();
     assert_eq!(settings.region().as_str(), "thies");
     assert_eq!(settings.bounds.revoke_ms, Ms(5_000));
@@ -22,18 +22,18 @@
 }
 
 #[test]
-fn values_that_the_platform_leaves_out_are_the_defaults() {
+fn values_left_out_by_the_platform_get_their_defaults() {
     let text = format!("{GOOD}metrics:\nseeds: []\n");
     assert_eq!(Settings::parse(&text).unwrap().metrics, None);
 }
 
 #[test]
-fn errors_name_the_field_and_what_it_should_be() {
+fn errors_name_the_field_and_its_allowed_values() {
     let error = |text: &str| Settings::parse(text).unwrap_err().to_string();
     let unknown = error(&format!("{GOOD}colour: red\n"));
     assert!(unknown.contains("colour"), "{unknown}");
-    let place = error(&GOOD.replace("domain: thies-nord", "domain: elsewhere"));
-    assert_eq!(place, "domains: name the region of elsewhere, the host's own failure domain");
+    let domain = error(&GOOD.replace("domain: thies-nord", "domain: elsewhere"));
+    assert_eq!(domain, "domains: name the region of elsewhere, the host's own failure domain");
     let bound = error(&format!("{GOOD}bounds: {{grace_s: 0}}\n"));
     assert_eq!(bound, "bounds.grace_s: must be at least 1");
     let cores = error(&format!("{GOOD}cores: 0\n"));
@@ -42,10 +42,10 @@
     assert!(missing.contains("host"), "{missing}");
 }
 
-// The deployment's template must give settings that can be read. What the platform fills in is
-// put in its place here as the platform's pages say.
+// The template of the deployment must render to valid settings. The test fills in the values that
+// the platform puts in according to its documentation.
 #[test]
-fn the_deployments_template_gives_settings() {
+fn the_deployment_template_renders_to_valid_settings() {
     let template = include_str!("../../../deploy/edge.yaml.in");
     let values = [
         ("nodeName|json", "\"edge-1\""),
