--- a/crates/edge/src/follow.rs
+++ b/crates/edge/src/follow.rs
@@ -182,8 +182,8 @@
     }
 }
 
-/// Watches the targets until a call fails. Lists them first if they aren't known, if changes may
-/// have been missed or if the last list is old.
+/// Watches the targets until a call fails. Lists them whenever they aren't known, changes may have
+/// been missed or the last list is old.
 ///
 /// The host that reads the store changes with the set of live hosts. One that takes over continues
 /// from the revision up to which it was informed by the previous one.
--- a/crates/edge/src/members.rs
+++ b/crates/edge/src/members.rs
@@ -1,5 +1,5 @@
-//! Calls to the other hosts. Determines which host is responsible for what, such as composing the
-//! calls of a service, and passes on news that other hosts need at once.
+//! The other hosts of the fleet: which of them is responsible for what, such as composing the calls
+//! of a service, and the news that they need at once.
 
 use base::{Clock, DomainId, HostId, Ms, PoolId, RegionId, TargetId};
 use gossip::{Node, NodeConfig};
@@ -26,9 +26,9 @@
 const DEAD_AFTER: Ms = Ms(3_000);
 /// Limit of concurrent calls when several hosts are notified.
 const MAX_PARALLEL_CALLS: usize = 64;
-/// Limit of hosts of a failure domain that are notified, for example of a prompt, which takes a
-/// hundred bytes for each. In a domain with more hosts each of them sends fewer requests, and a
-/// dozen informed hosts are enough to avoid an engine that is in use.
+/// Limit of hosts of a failure domain that are notified. A message about a prompt takes a hundred
+/// bytes for each host. In a domain with more hosts each host sends fewer requests, and a dozen
+/// informed hosts are enough to avoid an engine that is in use.
 const MAX_DOMAIN_AUDIENCE: usize = 12;
 
 /// The host that has a duty, such as composing the calls of a service in a region.
--- a/crates/edge/src/plain.rs
+++ b/crates/edge/src/plain.rs
@@ -23,8 +23,8 @@
 /// never passed on in part.
 const MAX_RESPONSE_BYTES: usize = 16 << 20;
 /// Time-out of an attempt after which an idempotent request is sent to another target, as a
-/// fraction (numerator and denominator) of the route's latency aim. Such a request is late anyway,
-/// and the second target has the rest of the time.
+/// fraction (numerator and denominator) of the route's latency aim. After that time the response is
+/// late anyway, and the second target has the rest of the time.
 const ATTEMPT_TIMEOUT: (u64, u64) = (3, 2);
 /// Largest number of targets that are tried for one request, including those that did not run it.
 const MAX_TARGETS: usize = 4;
--- a/crates/edge/src/reload.rs
+++ b/crates/edge/src/reload.rs
@@ -1,4 +1,4 @@
-//! Reloads the settings when a signal announces a change or when the file is found changed.
+//! Reloads the settings when a signal announces a change or a periodic check finds the file changed.
 
 use base::Ms;
 use logs::note;
--- a/crates/edge/src/settings.rs
+++ b/crates/edge/src/settings.rs
@@ -77,7 +77,7 @@
     /// Whether a revoked key must stop working on every host within `revoke_ms`, even on a host
     /// that can't reach the store. Default true.
     pub revoke_strict: bool,
-    /// See `revoke_strict`, ms. Default 5000.
+    /// See `revoke_strict`; in ms. Default 5000.
     pub revoke_ms: Ms,
     /// Time within which a new version of the configuration must be in force, ms. Default 2500.
     pub config_ms: Ms,
--- a/crates/edge/src/source.rs
+++ b/crates/edge/src/source.rs
@@ -1,5 +1,6 @@
-//! Keeps what this host knows of the platform's store current without reading the store: it queries
-//! the host of its failure domain that reads it. See [`sched::source`].
+//! Keeps what this host knows of the platform's store current by querying the host of its failure
+//! domain that reads the store, and decides when this host reads the store itself. See
+//! [`sched::source`].
 
 use base::{HostId, Ms};
 use catalog::Proof;
