--- a/crates/edge/src/plain.rs
+++ b/crates/edge/src/plain.rs
@@ -60,7 +60,7 @@
         let want = Want::Plain { risky: !idempotent };
         let link = match choose(core, call, want, &tried) {
             Ok(link) => link,
-            Err(barrier) => break if runs > 0 { Reason::Failed } else { barrier.into() },
+            Err(blocked) => break if runs > 0 { Reason::Failed } else { blocked.into() },
         };
         let may_retry = idempotent && runs + 1 < call.route.attempts;
         let timeout = match may_retry {
--- a/crates/edge/src/refusal.rs
+++ b/crates/edge/src/refusal.rs
@@ -63,8 +63,8 @@
 }
 
 impl From<BlockReason> for Reason {
-    fn from(barrier: BlockReason) -> Self {
-        match barrier {
+    fn from(blocked: BlockReason) -> Self {
+        match blocked {
             BlockReason::NoTarget | BlockReason::Leaving => Self::NoTarget,
             BlockReason::Outside => Self::Outside,
             BlockReason::Evacuated => Self::Evacuated,
--- a/crates/edge/src/reload.rs
+++ b/crates/edge/src/reload.rs
@@ -1,4 +1,5 @@
-//! Reloads the settings when a signal announces a change or a periodic check finds the file changed.
+//! Reloads the settings when a signal announces a change or a periodic check finds the file
+//! changed.
 
 use base::Ms;
 use logs::note;
