--- a/crates/edge/src/dialect.rs
+++ b/crates/edge/src/dialect.rs
@@ -174,7 +174,8 @@
     fn stage_call(&self, call: &StageCall<'_>) -> Request<Bytes>;
 
     /// The outcome of a stage call.
-    fn parse_stage_response(&self, status: StatusCode, head: &ResponseHead, body: &[u8]) -> CallEnd;
+    fn parse_stage_response(&self, status: StatusCode, head: &ResponseHead, body: &[u8])
+    -> CallEnd;
 
     /// The request that releases results on a stage target.
     fn stage_free(&self, target: &str, handles: &[String]) -> Request<Bytes>;
--- a/crates/edge/src/notices.rs
+++ b/crates/edge/src/notices.rs
@@ -7,7 +7,7 @@
 use wire::TargetLimit;
 
 use crate::core::Core;
-use crate::dialect::{ResponseHead, Notice};
+use crate::dialect::{Notice, ResponseHead};
 use crate::links::Link;
 
 /// Applies what a target reported about itself in the head of a response.
