--- a/crates/edge/src/choose.rs
+++ b/crates/edge/src/choose.rs
@@ -5,7 +5,7 @@
 use std::sync::Arc;
 
 use crate::core::Core;
-use crate::gate::{self, Barrier};
+use crate::gate::{self, BlockReason};
 use crate::links::Link;
 use crate::request::Call;
 
@@ -37,12 +37,12 @@
     call: &Call,
     selection: Selection<'_>,
     tried: &[Arc<Link>],
-) -> Result<Arc<Link>, Barrier> {
+) -> Result<Arc<Link>, BlockReason> {
     let now = core.clock.now();
     let links = core.links();
     let mut barrier = match links.has_evacuated_targets(&call.service) {
-        true => Barrier::Evacuated,
-        false => Barrier::NoTarget,
+        true => BlockReason::Evacuated,
+        false => BlockReason::NoTarget,
     };
     let mut open: Vec<&Arc<Link>> = Vec::new();
     for link in links.of(&call.service) {
@@ -50,7 +50,7 @@
             continue;
         }
         if !core.allows(&call.residency, link) {
-            barrier = Barrier::Outside;
+            barrier = BlockReason::Outside;
             continue;
         }
         match gate::check(core, now, link) {
--- a/crates/edge/src/composer/mod.rs
+++ b/crates/edge/src/composer/mod.rs
@@ -25,7 +25,7 @@
 use self::submission::{Submission, Withdraw, piece_ended, piece_started, pieces};
 use crate::core::{Core, allowance};
 use crate::dialect::StageCall;
-use crate::gate::Barrier;
+use crate::gate::BlockReason;
 use crate::links::Link;
 use crate::send::{SendFault, send};
 
@@ -165,7 +165,7 @@
         let near = |region: Option<&RegionId>| region == Some(settings.region());
         let any_near = targets.iter().any(|(_, region)| near(*region));
         let composed = |region: Option<&RegionId>| match region {
-            Some(region) => !self.core.members.composes(&settings, service, region),
+            Some(region) => !self.core.members.peer_composes(&settings, service, region),
             None => !any_near,
         };
         let mine = targets.into_iter().filter(|(_, region)| near(*region) || composed(*region));
@@ -290,7 +290,7 @@
         };
         let answered = match send(&self.core, &link, NO_REQUEST_ID, timeout, build).await {
             Ok(answered) => answered,
-            Err(SendFault::Barred(Barrier::Limited(rest) | Barrier::Paused(rest))) => {
+            Err(SendFault::Barred(BlockReason::Limited(rest) | BlockReason::Paused(rest))) => {
                 return CallEnd::Deferred(rest);
             }
             // Counts as a full target: an evacuated one is about to be removed from the list, and a
@@ -307,7 +307,7 @@
             Err(_) => return CallEnd::Silent,
         };
         answered.lease.close();
-        self.core.dialect.stage_end(answered.parts.status, &answered.head, &body)
+        self.core.dialect.parse_stage_response(answered.parts.status, &answered.head, &body)
     }
 
     /// The expected wait for a call of each service that runs stages, if this host composed it.
--- a/crates/edge/src/core.rs
+++ b/crates/edge/src/core.rs
@@ -1,6 +1,6 @@
 //! State shared by all parts of an edge host.
 
-mod store_view;
+mod known;
 
 use arc_swap::{ArcSwap, ArcSwapOption, Guard};
 use base::{Clock, Ms, TargetId};
@@ -16,16 +16,16 @@
 use std::sync::{Arc, Mutex, MutexGuard, PoisonError};
 use tokio::sync::watch;
 
-use self::store_view::StoreView;
+use self::known::StoreView;
 use crate::dialect::Dialect;
 use crate::directory::Declared;
 use crate::gate::Gate;
 use crate::links::{Link, Links};
+use crate::liveness::LivenessProbes;
 use crate::members::Members;
 use crate::metrics::Metrics;
-use crate::pulse::Pulses;
 use crate::settings::Settings;
-use crate::store_sync::CompressedConfig;
+use crate::shared::CompressedConfig;
 
 /// The shared state.
 pub(crate) struct Core {
@@ -36,7 +36,7 @@
     /// Evacuated failure domains, and the hosts that share the request limit of cold targets.
     pub(crate) gate: Gate,
     /// Liveness checks of the hosts whose results this one waits for.
-    pub(crate) pulses: Pulses,
+    pub(crate) pulses: LivenessProbes,
     /// Notifies of changes of the targets or the configuration.
     pub(crate) changed: watch::Sender<()>,
     settings: ArcSwap<Settings>,
@@ -109,7 +109,7 @@
             metrics,
             members,
             gate: Gate::new(clock.now(), &settings),
-            pulses: Pulses::default(),
+            pulses: LivenessProbes::default(),
             changed: watch::Sender::new(()),
             budget: Mutex::new(RetryBudget::new(allowance(&settings))),
             draws: AtomicU64::new(base::hash_parts(&[
--- a/crates/edge/src/lib.rs
+++ b/crates/edge/src/lib.rs
@@ -1,14 +1,14 @@
-//! An edge host: takes callers' requests, runs their stages on targets and passes answers back.
+//! An edge host: accepts callers' requests, runs their stages on targets and returns the responses.
 //!
-//! The platform's names and formats are behind two borders, [`Dialect`] for requests and answers
-//! and [`Directory`] for what is registered and declared; everything else here is the product's.
+//! Two traits keep the platform's names and formats out of this crate: [`Dialect`] for requests and
+//! responses, and [`Directory`] for the configuration and the registered targets.
 //!
 //! ```text
 //! caller -> accept -> request -> plain | stream -> links -> target
 //!                        |          ^
 //!                        v          |
 //!                     stages -> composer (this host's or a peer's) -> links -> stage target
-//! follow: Directory -> catalog and registry <- source: another host that reads the store
+//! follow: Directory -> catalog and registry <- source: another host, which reads the store
 //! members: peers over tarpc
 //! ```
 
@@ -25,11 +25,12 @@
 mod gate;
 mod host;
 mod links;
+mod liveness;
 mod members;
 mod metrics;
 mod notices;
+mod notify;
 mod plain;
-mod pulse;
 mod refusal;
 mod relay;
 mod reload;
@@ -38,20 +39,20 @@
 mod results;
 mod send;
 mod settings;
+mod shared;
 mod source;
 mod stages;
-mod store_sync;
 mod stream;
 mod subjects;
 mod submit;
-mod tell;
 
 pub use dialect::{
-    AnswerHead, Ask, AskError, Dialect, Load, Notice, Onward, PromptPart, StageCall,
+    Dialect, ForwardFields, Load, Notice, PromptPart, RequestHead, RequestHeadError, ResponseHead,
+    StageCall,
 };
 pub use directory::{
     Change, Declared, Directory, DirectoryError, Kind, Page, Record, RecordBody, Revision, Updates,
 };
-pub use events::{EventStream, Taken};
+pub use events::{EventStream, Parsed};
 pub use host::{Host, HostError, Stopped};
 pub use settings::{Bounds, Settings, SettingsError};
--- a/crates/edge/src/relay.rs
+++ b/crates/edge/src/relay.rs
@@ -9,14 +9,14 @@
 use sched::health::Outcome;
 use std::sync::Arc;
 
-use crate::body::{Out, whole};
+use crate::body::{ResponseBody, full_body};
 use crate::choose::{Selection, choose, copy_source};
 use crate::core::Core;
 use crate::events::EventStream;
-use crate::gate::Barrier;
+use crate::gate::BlockReason;
 use crate::host::App;
 use crate::links::Link;
-use crate::plain::{crashed, headers};
+use crate::plain::{headers, report_crash};
 use crate::refusal::{Reason, give_up};
 use crate::request::Call;
 use crate::results::Results;
@@ -43,7 +43,7 @@
     /// An engine streams.
     Streams(hyper::http::response::Parts),
     /// An engine answered without a stream.
-    Answer(Box<Response<Out>>),
+    Answer(Box<Response<ResponseBody>>),
     /// There is no answer of an engine.
     Refused(Reason),
 }
@@ -95,7 +95,7 @@
             tried: Vec::new(),
             sends: 0,
             runs: 0,
-            events: EventStream::new(call.ask.last_event),
+            events: EventStream::new(call.head.last_event),
             open: None,
             app,
             core,
@@ -106,7 +106,7 @@
     }
 
     /// The caller's answer when no engine streams.
-    pub(crate) fn refuse(&self, reason: Reason) -> Response<Out> {
+    pub(crate) fn refuse(&self, reason: Reason) -> Response<ResponseBody> {
         give_up(&self.core, &self.call, reason, self.tried.len(), self.runs)
     }
 
@@ -170,7 +170,7 @@
     fn copy_time(&self) -> Ms {
         let service = self.call.catalog.service(&self.call.service);
         let engine = service.and_then(|s| s.engine.as_ref());
-        let copy = engine.map_or(0.0, |e| e.copy_ms * self.call.ask.shared_tokens() as f64 / 1e3);
+        let copy = engine.map_or(0.0, |e| e.copy_ms * self.call.head.shared_tokens() as f64 / 1e3);
         Ms(copy as u64)
     }
 
@@ -181,9 +181,9 @@
         if self.tried.len() >= MAX_ENGINES
             || (!first && !self.core.budget().take(now, &self.call.service))
         {
-            return Sent::Barred(Barrier::NoTarget);
+            return Sent::Barred(BlockReason::NoTarget);
         }
-        let subject = self.call.ask.subject();
+        let subject = self.call.head.subject();
         let home = self.results.home().unwrap_or(&self.core.settings().domain).clone();
         let (copy, readers) = (self.copy_time(), self.readers.as_slice());
         let selection = Selection::Engine { subject, copy, readers, home: &home };
@@ -192,13 +192,13 @@
             Err(barrier) => return Sent::Barred(barrier),
         };
         self.tried.push(link.clone());
-        let tokens = self.call.ask.own_tokens();
+        let tokens = self.call.head.own_tokens();
         let reading = self.core.estimate().first_event(&self.call.service, tokens);
         let time = self.core.estimate().prefill(&self.call.service, tokens);
         let was_idle = link.backlog().wait(now) == Ms::ZERO;
         link.backlog().sent(now, time);
         if time >= REPORTED_READ_TIME {
-            self.core.members.sent(&link.entry.domain, &link.incarnation(), time);
+            self.core.members.queue_prompt(&link.entry.domain, &link.incarnation(), time);
         }
         let wait = match self.call.route.retry_safety.is_idempotent() {
             true if self.runs + 1 < self.call.route.attempts => {
@@ -211,9 +211,9 @@
         let fetch = copy_source(core, call, subject, &self.readers, &link).map(|l| l.entry.addr);
         let build = || {
             self.results.free_after_read();
-            call.onward(headers(core, call, &link, inputs, last, fetch))
+            call.target_request(headers(core, call, &link, inputs, last, fetch))
         };
-        let result = send(core, &link, &call.ask.id, wait, build).await;
+        let result = send(core, &link, &call.head.id, wait, build).await;
         self.sends += u32::from(!matches!(result, Err(SendFault::Barred(_))));
         match result {
             Ok(answered) => self.handle_answer(link, now, was_idle, answered).await,
@@ -240,7 +240,7 @@
         let Answered { head, parts, body, lease } = answered;
         let now = self.core.clock.now();
         if head.inputs_gone {
-            note!(logs::Event::InputsGone, request = %self.call.ask.id, target = link.name());
+            note!(logs::Event::InputsGone, request = %self.call.head.id, target = link.name());
             if self.tried.len() == 1 {
                 self.results.inputs_read_late();
             }
@@ -257,7 +257,7 @@
             return Sent::NotRun;
         }
         self.runs += 1;
-        if parts.status.is_success() && head.signed && !head.coded {
+        if parts.status.is_success() && head.signed && !head.encoded {
             self.open =
                 Some(OpenStream { link, lease, body, sent_at, awaits_first: true, was_idle });
             return Sent::Streams(Box::new(parts));
@@ -275,9 +275,9 @@
         let read = tokio::time::timeout(left.duration(), link::read(body, ERROR_BYTES));
         let Ok(Ok(body)) = read.await else { return Sent::Lost };
         lease.close();
-        let mut response = Response::new(whole(body));
+        let mut response = Response::new(full_body(body));
         *response.status_mut() = parts.status;
-        *response.headers_mut() = self.core.dialect.back(&parts.headers);
+        *response.headers_mut() = self.core.dialect.response_headers(&parts.headers);
         Sent::Answer(Box::new(response))
     }
 
@@ -285,7 +285,7 @@
     fn record_failure(&self, link: &Link, fault: SendFault) {
         note!(
             logs::Event::AttemptFailed,
-            request = %self.call.ask.id,
+            request = %self.call.head.id,
             target = link.name(),
             fault = fault.name(),
             last_event = self.events.last(),
@@ -293,7 +293,7 @@
         );
         self.core.metrics.sent(&self.call.route.name, fault.name());
         if fault == SendFault::Broken {
-            crashed(&self.core, &self.call, link);
+            report_crash(&self.core, &self.call, link);
         }
     }
 }
@@ -303,7 +303,7 @@
     /// The engine streams.
     Streams(Box<hyper::http::response::Parts>),
     /// The engine answered without a stream.
-    Answer(Box<Response<Out>>),
+    Answer(Box<Response<ResponseBody>>),
     /// The engine did not run it.
     NotRun,
     /// The engine did not run it because its inputs are gone.
@@ -311,7 +311,7 @@
     /// It failed, and the engine may have run it.
     Lost,
     /// No engine may get it.
-    Barred(Barrier),
+    Barred(BlockReason),
 }
 
 impl Drop for Relay {
@@ -321,7 +321,7 @@
         let now = self.core.clock.now();
         note!(
             logs::Event::StreamLeft,
-            request = %self.call.ask.id,
+            request = %self.call.head.id,
             route = %self.call.route.name,
             target = open.link.name(),
             first_ms = self.first_event.map(|at| (at - self.call.arrived).0),
--- a/crates/edge/src/relay/forward.rs
+++ b/crates/edge/src/relay/forward.rs
@@ -8,16 +8,16 @@
 use sched::health::Outcome;
 
 use super::{Relay, STREAM_TIMEOUT, Sent};
-use crate::body::Cut;
-use crate::events::Taken;
+use crate::body::Truncated;
+use crate::events::Parsed;
 use crate::send::SendFault;
 use crate::subjects;
 
 impl Relay {
     /// The next events; none at the end of the stream.
-    pub(crate) async fn next(&mut self) -> Option<Result<Bytes, Cut>> {
+    pub(crate) async fn next(&mut self) -> Option<Result<Bytes, Truncated>> {
         loop {
-            let Some(open) = &mut self.open else { return Some(Err(Cut)) };
+            let Some(open) = &mut self.open else { return Some(Err(Truncated)) };
             let now = self.core.clock.now();
             let left = self.call.deadline - now;
             let resumable = self.call.route.retry_safety.is_idempotent();
@@ -26,13 +26,13 @@
             let fault = match frame {
                 Ok(Some(Ok(frame))) => {
                     let Ok(data) = frame.into_data() else { continue };
-                    match self.events.take(data) {
-                        Taken::Events(events) if events.is_empty() => continue,
-                        Taken::Events(events) => {
+                    match self.events.push(data) {
+                        Parsed::Events(events) if events.is_empty() => continue,
+                        Parsed::Events(events) => {
                             self.record_first_event();
                             return Some(Ok(events));
                         }
-                        Taken::Broken => SendFault::Mismatch,
+                        Parsed::Broken => SendFault::Mismatch,
                     }
                 }
                 Ok(None) if !self.events.is_partial() => {
@@ -56,11 +56,11 @@
         let now = self.core.clock.now();
         let took = now - open.sent_at;
         open.link.record(now, Outcome::Good(took));
-        let ask = &self.call.ask;
+        let ask = &self.call.head;
         open.link.subjects().record(ask.subject(), ask.shared_tokens(), capacity);
         subjects::report_reader(&self.core, &self.call, &open.link);
         if open.was_idle {
-            let tokens = self.call.ask.own_tokens();
+            let tokens = self.call.head.own_tokens();
             self.core.estimate().record_first(&self.call.service, tokens, took);
         }
         if self.first_event.is_some() {
@@ -78,11 +78,12 @@
         self.core.poison().clear(self.call.fingerprint);
         self.core.metrics.sent(&self.call.route.name, "good");
         let now = self.core.clock.now();
-        let late = self.first_event.unwrap_or(now) - self.call.arrived - self.call.route.latency_goal;
+        let late =
+            self.first_event.unwrap_or(now) - self.call.arrived - self.call.route.latency_goal;
         if let Some(stands_for) = self.core.sample(late > Ms::ZERO) {
             note!(
                 logs::Event::RequestServed,
-                request = %self.call.ask.id,
+                request = %self.call.head.id,
                 route = %self.call.route.name,
                 version = self.call.catalog.version,
                 target = open.link.name(),
@@ -98,7 +99,7 @@
     }
 
     /// Resumes the stream at another engine, after the last complete event.
-    pub(super) async fn resume(&mut self, fault: SendFault) -> Result<(), Cut> {
+    pub(super) async fn resume(&mut self, fault: SendFault) -> Result<(), Truncated> {
         // The connection is dropped first, so that this engine stops before another resumes.
         if let Some(open) = self.open.take() {
             let outcome = match fault {
@@ -124,7 +125,7 @@
                     self.results.free();
                     note!(
                         logs::Event::StreamResumed,
-                        request = %self.call.ask.id,
+                        request = %self.call.head.id,
                         after = self.events.last()
                     );
                     return Ok(());
@@ -135,11 +136,11 @@
         }
         note!(
             logs::Event::StreamCut,
-            request = %self.call.ask.id,
+            request = %self.call.head.id,
             fault = fault.name(),
             runs = self.runs,
             left_ms = self.call.left(self.core.clock.now()).0
         );
-        Err(Cut)
+        Err(Truncated)
     }
 }
--- a/crates/edge/src/send.rs
+++ b/crates/edge/src/send.rs
@@ -11,8 +11,8 @@
 use thiserror::Error;
 
 use crate::core::Core;
-use crate::dialect::AnswerHead;
-use crate::gate::{self, Barrier};
+use crate::dialect::ResponseHead;
+use crate::gate::{self, BlockReason};
 use crate::links::{Link, OpenRequest};
 use crate::notices;
 
@@ -21,7 +21,7 @@
 pub(crate) enum SendFault {
     /// This host may not send to the target now: nothing was sent.
     #[error("the target may not get requests now: {}", .0.name())]
-    Barred(Barrier),
+    Barred(BlockReason),
     /// No connection: nothing was sent.
     #[error("no connection")]
     NoConnection,
@@ -90,7 +90,7 @@
 
 /// A target's answer, whose body is still to be read.
 pub(crate) struct Answered {
-    pub(crate) head: AnswerHead,
+    pub(crate) head: ResponseHead,
     pub(crate) parts: Parts,
     pub(crate) body: Incoming,
     pub(crate) lease: Lease,
@@ -125,11 +125,11 @@
     let open = link.begin();
     let end = core.clock.now() + wait;
     let mut conn = connect(link, Freshness::Reuse).await?;
-    gate::pass(core, link).map_err(SendFault::Barred)?;
+    gate::admit(core, link).map_err(SendFault::Barred)?;
     let mut result = conn.send(build().map(full), end - core.clock.now()).await;
     if let Err(LinkError::Unsent) = result {
         conn = connect(link, Freshness::New).await?;
-        gate::pass(core, link).map_err(SendFault::Barred)?;
+        gate::admit(core, link).map_err(SendFault::Barred)?;
         result = conn.send(build().map(full), end - core.clock.now()).await;
     }
     let response = result.map_err(|err| match err {
@@ -140,12 +140,12 @@
         }
     })?;
     let (parts, body) = response.into_parts();
-    let head = core.dialect.answer(&parts, id);
+    let head = core.dialect.parse_response(&parts, id);
     if !head.same_request {
         return Err(SendFault::Mismatch);
     }
-    notices::take(core, link, &parts, &head);
-    let lease = Lease { link: link.clone(), conn, keep: head.keep, _open: open };
+    notices::apply(core, link, &parts, &head);
+    let lease = Lease { link: link.clone(), conn, keep: head.keep_alive, _open: open };
     Ok(Answered { head, parts, body, lease })
 }
 
--- a/crates/edge/src/stages/outputs.rs
+++ b/crates/edge/src/stages/outputs.rs
@@ -74,7 +74,7 @@
     /// which the inputs were made were released once they had been read.
     pub(super) fn rerun(&mut self, i: usize) {
         self.reruns += 1;
-        note!(logs::Event::StageRedone, request = %self.call.ask.id, stage = i);
+        note!(logs::Event::StageRedone, request = %self.call.head.id, stage = i);
         self.started[i] = None;
         for before in self.call.route.stages[i].after.clone() {
             self.reset(before);
--- a/crates/edge/src/stages/place.rs
+++ b/crates/edge/src/stages/place.rs
@@ -74,7 +74,7 @@
         let regions = targets.filter_map(|l| settings.region_of(&l.entry.domain));
         // All stages of a request run in the same region, so that results don't cross between
         // regions.
-        let key = self.call.ask.id.as_bytes();
+        let key = self.call.head.id.as_bytes();
         base::rendezvous(key, regions.filter(|r| residency.allows(r)), |r| r.as_str()).cloned()
     }
 }
--- a/crates/edge/src/stream.rs
+++ b/crates/edge/src/stream.rs
@@ -1,4 +1,5 @@
-//! Requests answered by an event stream: stages first, then an engine, then events as they come.
+//! Runs requests whose response is an event stream: first the stages, then an engine, whose events
+//! are forwarded as they arrive.
 
 use futures::stream::unfold;
 use http_body_util::{BodyExt, StreamBody};
@@ -6,21 +7,21 @@
 use hyper::body::Frame;
 use std::sync::Arc;
 
-use crate::body::Out;
+use crate::body::ResponseBody;
 use crate::host::App;
 use crate::refusal::{Reason, give_up};
 use crate::relay::{Relay, Started};
 use crate::request::Call;
 use crate::{stages, subjects};
 
-/// Runs it and gives the caller's answer; the events follow as the answer's body.
-pub(crate) async fn run(app: Arc<App>, call: Call) -> Response<Out> {
+/// Runs a request and returns the response to the caller; the events follow as its body.
+pub(crate) async fn run(app: Arc<App>, call: Call) -> Response<ResponseBody> {
     let core = app.core.clone();
     let readers = subjects::find_readers(&core, &call);
     let done = tokio::select! {
         done = stages::run(&app, &call) => done,
-        // Begun now, its stream would be cut when the host's time is over.
-        () = app.giving_up() => Err(Reason::Stopping),
+        // A stream that began now would be truncated at the end of the host's grace period.
+        () = app.refuses_unsent() => Err(Reason::Stopping),
     };
     let results = match done {
         Ok(results) => results,
@@ -29,12 +30,12 @@
     let mut relay = Relay::new(app, call, results, readers.get().await);
     match relay.start().await {
         Started::Streams(parts) => {
-            let headers = core.dialect.back(&parts.headers);
+            let headers = core.dialect.response_headers(&parts.headers);
             let body = unfold(Some(relay), |relay| async move {
                 let mut relay = relay?;
                 match relay.next().await {
                     Some(Ok(events)) => Some((Ok(Frame::data(events)), Some(relay))),
-                    Some(Err(cut)) => Some((Err(cut), None)),
+                    Some(Err(truncated)) => Some((Err(truncated), None)),
                     None => None,
                 }
             });
--- a/crates/edge/src/subjects.rs
+++ b/crates/edge/src/subjects.rs
@@ -45,7 +45,7 @@
 /// Whether an engine takes so long to read the shared part of the prompt that a look-up is worth
 /// its cost.
 fn worth_lookup(core: &Core, call: &Call) -> bool {
-    let time = core.estimate().prefill(&call.service, call.ask.shared_tokens());
+    let time = core.estimate().prefill(&call.service, call.head.shared_tokens());
     time > ANSWER_WAIT
 }
 
@@ -54,8 +54,8 @@
     if !worth_lookup(core, call) {
         return Readers::Known(Vec::new());
     }
-    let (service, subject) = (call.service.as_str(), call.ask.subject());
-    match core.members.keeper(subject) {
+    let (service, subject) = (call.service.as_str(), call.head.subject());
+    match core.members.hash_owner(subject) {
         Some(Owner::Peer { host, addr }) => {
             let query = SubjectQuery { service: service.to_owned(), subject };
             Readers::Pending(tokio::spawn(fetch_readers(core.clone(), host, addr, query)))
@@ -86,9 +86,9 @@
     if !worth_lookup(core, call) {
         return;
     }
-    let (service, subject) = (call.service.as_str(), call.ask.subject());
+    let (service, subject) = (call.service.as_str(), call.head.subject());
     let target = link.incarnation();
-    match core.members.keeper(subject) {
+    match core.members.hash_owner(subject) {
         Some(Owner::Peer { host, addr }) => {
             let (service, target) = (service.to_owned(), target.as_str().to_owned());
             let reads = vec![SubjectRead { service, subject, target }];
