--- a/bins/siskinwheel-bench/src/journal/leased.rs
+++ b/bins/siskinwheel-bench/src/journal/leased.rs
@@ -6,7 +6,7 @@
 use async_trait::async_trait;
 use base::{Clock, HostId, Ms, Version};
 use journal::{Claim, Granted, Journal, JournalError, Outcome, Sharded, ShardedConfig};
-use peer::{Peers, Serves, View, ViewHost};
+use peer::{PeerHandler, Peers, View, ViewHost};
 use std::sync::Arc;
 use store::Api;
 use tokio::time::sleep;
@@ -141,7 +141,7 @@
 }
 
 #[async_trait]
-impl Serves for Leased {
+impl PeerHandler for Leased {
     async fn exchange(&self, _: Exchange) -> Exchange {
         Exchange::default()
     }
--- a/bins/siskinwheel-bench/src/journal/world.rs
+++ b/bins/siskinwheel-bench/src/journal/world.rs
@@ -7,7 +7,7 @@
 use conf::JournalSettings;
 use fakes::{MemFaults, MemStore, Platform, PlatformFaults};
 use journal::{Direct, Journal, Sharded, ShardedConfig};
-use peer::{Listener, PeerError, Peers, Serves, View, ViewHost, Wire};
+use peer::{Listener, PeerError, PeerHandler, Peers, View, ViewHost, Wire};
 use std::net::SocketAddr;
 use std::sync::atomic::{AtomicU64, Ordering};
 use std::sync::{Arc, Mutex, PoisonError};
@@ -120,7 +120,7 @@
         host: usize,
         place: Place,
         rules: &JournalSettings,
-    ) -> Arc<dyn Serves> {
+    ) -> Arc<dyn PeerHandler> {
         let (api, clock, view): (Arc<dyn Api>, _, Arc<dyn View>) =
             (self.counted.clone(), self.clock.clone(), self.roll.clone());
         let peers: Arc<dyn Peers> = match place {
@@ -150,7 +150,7 @@
         }
     }
 
-    async fn listen(&self, place: Place, host: usize, serves: Arc<dyn Serves>) -> Result<()> {
+    async fn listen(&self, place: Place, host: usize, serves: Arc<dyn PeerHandler>) -> Result<()> {
         let (address, listener) = match place {
             Place::Memory => (address(host), None),
             Place::Loopback => {
@@ -312,11 +312,11 @@
 /// Links between hosts in memory.
 #[derive(Default)]
 struct Net {
-    serves: Mutex<Vec<Option<Arc<dyn Serves>>>>,
+    serves: Mutex<Vec<Option<Arc<dyn PeerHandler>>>>,
 }
 
 impl Net {
-    async fn reach(&self, to: SocketAddr) -> Arc<dyn Serves> {
+    async fn reach(&self, to: SocketAddr) -> Arc<dyn PeerHandler> {
         sleep(HOP.duration()).await;
         let serves = lock(&self.serves)[usize::from(to.port()) - 1].clone();
         match serves {
@@ -351,7 +351,7 @@
 struct Serving(Arc<Sharded>);
 
 #[async_trait]
-impl Serves for Serving {
+impl PeerHandler for Serving {
     async fn exchange(&self, _: Exchange) -> Exchange {
         Exchange::default()
     }
@@ -369,7 +369,7 @@
 struct Nothing;
 
 #[async_trait]
-impl Serves for Nothing {
+impl PeerHandler for Nothing {
     async fn exchange(&self, _: Exchange) -> Exchange {
         Exchange::default()
     }
--- a/crates/gossip/src/node.rs
+++ b/crates/gossip/src/node.rs
@@ -6,7 +6,9 @@
 use hyper::{Method, Request, StatusCode, header};
 use link::{Pool, PoolConfig};
 use logs::note;
-use peer::{Bound, Claims, Listener, PeerError, Peers, Serves, StageServer, View, ViewHost, Wire};
+use peer::{
+    Bound, Claims, Listener, PeerError, PeerHandler, Peers, StageServer, View, ViewHost, Wire,
+};
 use serde::de::DeserializeOwned;
 use std::net::SocketAddr;
 use std::sync::atomic::{AtomicU64, Ordering};
@@ -329,7 +331,7 @@
 struct Answers(Arc<Shared>);
 
 #[async_trait]
-impl Serves for Answers {
+impl PeerHandler for Answers {
     async fn exchange(&self, exchange: Exchange) -> Exchange {
         self.0.heard(peer::call_bytes(&exchange));
         let exchange = Box::new(exchange);
--- a/crates/journal/src/sharded.rs
+++ b/crates/journal/src/sharded.rs
@@ -94,7 +94,7 @@
         self.shared.layout.shard(claim.workspace.as_str(), claim.key)
     }
 
-    /// Answers another host's claim, as [`peer::Serves::claim`].
+    /// Answers another host's claim, as [`peer::PeerHandler::claim`].
     pub async fn serve_claim(&self, claim: wire::Claim) -> Grant {
         let Some(read) = message::claim(&claim) else {
             return message::grant(Claimed::refused(false));
@@ -103,7 +103,7 @@
         message::grant(self.start(&read, by, self.serve_ms()).await)
     }
 
-    /// Answers another host's finish, as [`peer::Serves::finish`].
+    /// Answers another host's finish, as [`peer::PeerHandler::finish`].
     pub async fn serve_finish(&self, finish: Finish) -> bool {
         let Some(outcome) = message::outcome(&finish) else { return false };
         let claim = wire::Claim {
--- a/crates/peer/src/api.rs
+++ b/crates/peer/src/api.rs
@@ -26,7 +26,7 @@
 
 /// Answers other hosts.
 #[async_trait]
-pub trait Serves: Send + Sync {
+pub trait PeerHandler: Send + Sync {
     /// Takes what a peer knows and gives what it lacks.
     async fn exchange(&self, exchange: Exchange) -> Exchange;
 
--- a/crates/peer/src/listener.rs
+++ b/crates/peer/src/listener.rs
@@ -18,7 +18,7 @@
     StoreNews, StoreQuery, SubjectQuery, SubjectReaders,
 };
 
-use crate::Serves;
+use crate::PeerHandler;
 
 /// Largest message either way, bytes: a full exchange carries the configuration, up to a
 /// megabyte. Both ends hold the same bound, or one would send what the other cuts off.
@@ -34,11 +34,11 @@
 /// The calls, as tarpc has them.
 #[tarpc::service]
 pub(crate) trait PeerService {
-    /// See [`Serves::exchange`].
+    /// See [`PeerHandler::exchange`].
     async fn exchange(exchange: Exchange) -> Exchange;
-    /// See [`Serves::claim`].
+    /// See [`PeerHandler::claim`].
     async fn claim(claim: Claim) -> Grant;
-    /// See [`Serves::finish`].
+    /// See [`PeerHandler::finish`].
     async fn finish(finish: Finish) -> bool;
     /// See [`crate::StageServer::submit`].
     async fn submit(work: StageWork) -> Option<StageResults>;
@@ -56,7 +56,7 @@
 
 #[derive(Clone)]
 struct Server {
-    serves: Arc<dyn Serves>,
+    serves: Arc<dyn PeerHandler>,
     last: Arc<Mutex<Instant>>,
 }
 
@@ -145,8 +145,8 @@
         self.addr
     }
 
-    /// Serves it.
-    pub fn serve(self, serves: Arc<dyn Serves>) -> Listener {
+    /// PeerHandler it.
+    pub fn serve(self, serves: Arc<dyn PeerHandler>) -> Listener {
         let task = tokio::spawn(accept(self.listener, serves));
         Listener { addr: self.addr, task }
     }
@@ -160,7 +160,7 @@
 
 impl Listener {
     /// Listens at `addr`; port 0 takes a free one.
-    pub async fn start(addr: SocketAddr, serves: Arc<dyn Serves>) -> io::Result<Self> {
+    pub async fn start(addr: SocketAddr, serves: Arc<dyn PeerHandler>) -> io::Result<Self> {
         Ok(Bound::at(addr).await?.serve(serves))
     }
 
@@ -176,7 +176,7 @@
     }
 }
 
-async fn accept(listener: TcpListener, serves: Arc<dyn Serves>) {
+async fn accept(listener: TcpListener, serves: Arc<dyn PeerHandler>) {
     let room = Arc::new(Semaphore::new(CONNECTIONS));
     // Dropped with this task, and the connections with it.
     let mut open = JoinSet::new();
--- a/crates/peer/tests/calls.rs
+++ b/crates/peer/tests/calls.rs
@@ -2,7 +2,7 @@
 
 use async_trait::async_trait;
 use base::Ms;
-use peer::{Listener, PeerError, Peers, Serves, Wire, answer_bytes, call_bytes};
+use peer::{Listener, PeerError, PeerHandler, Peers, Wire, answer_bytes, call_bytes};
 use std::net::{Ipv4Addr, SocketAddr};
 use std::sync::Arc;
 use std::sync::atomic::{AtomicBool, AtomicU32, Ordering};
@@ -16,7 +16,7 @@
 }
 
 #[async_trait]
-impl Serves for Echo {
+impl PeerHandler for Echo {
     async fn exchange(&self, exchange: Exchange) -> Exchange {
         exchange
     }
