--- a/bins/siskinwheel-bench/src/journal/world.rs
+++ b/bins/siskinwheel-bench/src/journal/world.rs
@@ -7,7 +7,7 @@
 use conf::JournalSettings;
 use fakes::{MemFaults, MemStore, Platform, PlatformFaults};
 use journal::{Direct, Journal, Sharded, ShardedConfig};
-use peer::{Listener, PeerError, PeerHandler, Peers, View, ViewHost, Wire};
+use peer::{Listener, PeerClient, PeerError, PeerHandler, Peers, View, ViewHost};
 use std::net::SocketAddr;
 use std::sync::atomic::{AtomicU64, Ordering};
 use std::sync::{Arc, Mutex, PoisonError};
@@ -125,7 +125,7 @@
             (self.counted.clone(), self.clock.clone(), self.roll.clone());
         let peers: Arc<dyn Peers> = match place {
             Place::Memory => self.net.clone(),
-            Place::Loopback => Arc::new(Wire::new(SILENCE)),
+            Place::Loopback => Arc::new(PeerClient::new(SILENCE)),
         };
         let config =
             ShardedConfig { host: HostId::from(name(host)), incarnation: 1, rules: rules.clone() };
--- a/crates/edge/src/members.rs
+++ b/crates/edge/src/members.rs
@@ -2,7 +2,7 @@
 
 use base::{Clock, DomainId, HostId, Ms, PoolId, RegionId, TargetId};
 use gossip::{Node, NodeConfig};
-use peer::{StagePeers, StageServer, View, ViewHost, Wire};
+use peer::{PeerClient, StagePeers, StageServer, View, ViewHost};
 use sched::assignment;
 use std::collections::HashMap;
 use std::net::SocketAddr;
@@ -47,7 +47,7 @@
 pub(crate) struct Members {
     me: HostId,
     view: Arc<dyn View>,
-    peers: Arc<Wire>,
+    peers: Arc<PeerClient>,
     clock: Arc<dyn Clock>,
     suspects: Mutex<HashMap<HostId, Ms>>,
     crashes: mpsc::UnboundedSender<Crash>,
@@ -82,7 +82,7 @@
         let members = Self {
             me: settings.host.clone(),
             view: node.view(),
-            peers: Arc::new(Wire::new(SILENCE)),
+            peers: Arc::new(PeerClient::new(SILENCE)),
             clock,
             suspects: Mutex::default(),
             crashes,
--- a/crates/gossip/src/node.rs
+++ b/crates/gossip/src/node.rs
@@ -7,7 +7,7 @@
 use link::{Pool, PoolConfig};
 use logs::note;
 use peer::{
-    Bound, Claims, Listener, PeerError, PeerHandler, Peers, StageServer, View, ViewHost, Wire,
+    Bound, Claims, Listener, PeerClient, PeerError, PeerHandler, Peers, StageServer, View, ViewHost,
 };
 use serde::de::DeserializeOwned;
 use std::net::SocketAddr;
@@ -93,7 +93,7 @@
             state: Mutex::new(state),
             clock,
             api,
-            peers: Arc::new(Wire::new(settings.silence.peer_ms)),
+            peers: Arc::new(PeerClient::new(settings.silence.peer_ms)),
             news,
             claims: OnceLock::new(),
             stages: OnceLock::new(),
--- a/crates/gossip/tests/node.rs
+++ b/crates/gossip/tests/node.rs
@@ -6,7 +6,7 @@
 use fakes::{Platform, PlatformFaults, Target, TargetConfig};
 use gossip::{News, Node, NodeConfig, Tell};
 use mesh::{Shape, fleet_yaml, object};
-use peer::{Claims, Peers, Wire};
+use peer::{Claims, PeerClient, Peers};
 use std::net::{Ipv4Addr, SocketAddr};
 use std::sync::Arc;
 use store::{Api, HttpApi, HttpConfig};
@@ -171,7 +171,7 @@
 async fn claims_are_passed_on_once_someone_keeps_them() {
     let platform = Platform::start(local()).await.unwrap();
     let (node, _news) = node("host-a", &platform, &[]).await;
-    let wire = Wire::new(Ms::secs(5));
+    let wire = PeerClient::new(Ms::secs(5));
     let before = wire.claim(node.addr(), Claim::default()).await.unwrap();
     assert_eq!(before.kind(), GrantKind::Unavailable);
     assert_eq!(wire.finish(node.addr(), Finish::default()).await, Ok(false));
--- a/crates/peer/src/wire_peers.rs
+++ b/crates/peer/src/client.rs
@@ -39,7 +39,7 @@
 ///
 /// A link that was lost track of goes silent for good while new connections work. So a call that
 /// gets no answer within `silence` drops the kept connection, and the next call opens another.
-pub struct Wire {
+pub struct PeerClient {
     silence: Ms,
     count: AtomicU64,
     kept: Mutex<HashMap<SocketAddr, Kept>>,
@@ -64,7 +64,7 @@
     }
 }
 
-impl Wire {
+impl PeerClient {
     /// Calls without an answer for `silence` fail.
     pub fn new(silence: Ms) -> Self {
         Self { silence, count: AtomicU64::new(0), kept: Mutex::default() }
@@ -187,7 +187,7 @@
 }
 
 #[async_trait]
-impl Peers for Wire {
+impl Peers for PeerClient {
     async fn exchange(&self, to: SocketAddr, exchange: Exchange) -> Result<Exchange, PeerError> {
         self.call(to, |link, context| {
             let exchange = exchange.clone();
@@ -214,7 +214,7 @@
 }
 
 #[async_trait]
-impl StagePeers for Wire {
+impl StagePeers for PeerClient {
     async fn submit(
         &self,
         to: SocketAddr,
--- a/crates/peer/tests/calls.rs
+++ b/crates/peer/tests/calls.rs
@@ -2,7 +2,7 @@
 
 use async_trait::async_trait;
 use base::Ms;
-use peer::{Listener, PeerError, PeerHandler, Peers, Wire, answer_bytes, call_bytes};
+use peer::{Listener, PeerClient, PeerError, PeerHandler, Peers, answer_bytes, call_bytes};
 use std::net::{Ipv4Addr, SocketAddr};
 use std::sync::Arc;
 use std::sync::atomic::{AtomicBool, AtomicU32, Ordering};
@@ -51,7 +51,7 @@
 #[tokio::test]
 async fn calls_are_answered() {
     let (listener, _) = echo().await;
-    let wire = Wire::new(Ms::secs(5));
+    let wire = PeerClient::new(Ms::secs(5));
     let member = Member { host: "host-1".into(), ..Member::default() };
     let exchange = Exchange { members: vec![member], ..Exchange::default() };
     assert_eq!(wire.exchange(listener.addr(), exchange.clone()).await, Ok(exchange));
@@ -67,7 +67,7 @@
 #[tokio::test]
 async fn a_message_of_a_megabyte_passes_and_one_over_the_bound_fails_alone() {
     let (listener, _) = echo().await;
-    let wire = Wire::new(Ms::secs(20));
+    let wire = PeerClient::new(Ms::secs(20));
     let exchange = large(1 << 20);
     assert_eq!(wire.exchange(listener.addr(), exchange.clone()).await, Ok(exchange));
     assert!(wire.exchange(listener.addr(), large(5 << 20)).await.is_err());
@@ -81,7 +81,7 @@
     let (listener, _) = echo().await;
     let addr = listener.addr();
     listener.close().await;
-    let wire = Wire::new(Ms::secs(5));
+    let wire = PeerClient::new(Ms::secs(5));
     let result = wire.exchange(addr, Exchange::default()).await;
     assert_eq!(result, Err(PeerError::Unreachable));
 }
@@ -93,7 +93,7 @@
 async fn the_first_call_to_a_host_that_restarted_is_answered() {
     let (listener, _) = echo().await;
     let addr = listener.addr();
-    let wire = Wire::new(Ms::secs(5));
+    let wire = PeerClient::new(Ms::secs(5));
     for _ in 0..3 {
         assert_eq!(wire.exchange(addr, Exchange::default()).await, Ok(Exchange::default()));
     }
@@ -108,7 +108,7 @@
 async fn a_call_on_a_connection_that_is_reset_is_sent_once_more() {
     let (listener, echo) = echo().await;
     let (addr, reset) = relay(listener.addr(), Fault::Reset).await;
-    let wire = Wire::new(Ms::secs(5));
+    let wire = PeerClient::new(Ms::secs(5));
     assert!(wire.claim(addr, Claim::default()).await.is_ok());
     reset.store(true, Ordering::SeqCst);
     assert!(wire.claim(addr, Claim::default()).await.is_ok());
@@ -169,7 +169,7 @@
 async fn a_kept_connection_that_goes_silent_is_replaced() {
     let (listener, _) = echo().await;
     let (addr, silent) = relay(listener.addr(), Fault::Silent).await;
-    let wire = Wire::new(Ms(400));
+    let wire = PeerClient::new(Ms(400));
     wire.exchange(addr, Exchange::default()).await.unwrap();
     silent.store(true, Ordering::SeqCst);
     assert_eq!(wire.exchange(addr, Exchange::default()).await, Err(PeerError::Silent));
@@ -183,7 +183,7 @@
 #[tokio::test]
 async fn a_claim_goes_on_when_its_caller_gave_up() {
     let (listener, echo) = echo().await;
-    let wire = Wire::new(Ms(50));
+    let wire = PeerClient::new(Ms(50));
     let slow = Claim { key: "slow".into(), ..Claim::default() };
     assert_eq!(wire.claim(listener.addr(), slow).await, Err(PeerError::Silent));
     while echo.claims.load(Ordering::SeqCst) == 0 {
@@ -196,7 +196,7 @@
 async fn the_sizes_that_are_counted_are_those_on_the_wire() {
     let listener = TcpListener::bind(local()).await.unwrap();
     let addr = listener.local_addr().unwrap();
-    let wire = Wire::new(Ms(300));
+    let wire = PeerClient::new(Ms(300));
     let exchange = large(1000);
     let expected = call_bytes(&exchange);
     let call = wire.exchange(addr, exchange.clone());
