--- a/crates/entry/src/core.rs
+++ b/crates/entry/src/core.rs
@@ -2,7 +2,7 @@
 
 use base::{Clock, Key, Ms, RequestId, WorkspaceId};
 use conf::{Plan, Priority, Settings};
-use gossip::Tell;
+use gossip::Announcement;
 use journal::Journal;
 use logs::note;
 use opentelemetry_sdk::error::OTelSdkError;
@@ -51,7 +51,7 @@
     dial: Arc<dyn Dial>,
     ids: Box<dyn Fn() -> RequestId + Send + Sync>,
     pub(crate) metrics: Metrics,
-    pub(crate) tells: mpsc::UnboundedSender<Tell>,
+    pub(crate) tells: mpsc::UnboundedSender<Announcement>,
     pub(crate) wakes: mpsc::UnboundedSender<Ms>,
     /// Keyed requests that wait for the journal: to be registered, or for their end's record.
     pub(crate) finishing: AtomicUsize,
@@ -89,7 +89,7 @@
     /// Identifiers of requests, each given once.
     pub ids: Box<dyn Fn() -> RequestId + Send + Sync>,
     /// What other hosts are to be told.
-    pub tells: mpsc::UnboundedSender<Tell>,
+    pub tells: mpsc::UnboundedSender<Announcement>,
     /// When [`Core::tick`] is to be called next, at the latest.
     pub wakes: mpsc::UnboundedSender<Ms>,
 }
--- a/crates/entry/src/effects.rs
+++ b/crates/entry/src/effects.rs
@@ -1,7 +1,7 @@
 //! The reducer's effects, carried out.
 
 use base::{Attempt, Ms, RequestId, TargetId};
-use gossip::Tell;
+use gossip::Announcement;
 use journal::{Claim, Granted, JournalError, Outcome};
 use logs::note;
 use policy::{Effect, Ending, Event, Grant, Refusal, Verdict};
@@ -41,7 +41,7 @@
             Effect::Poison { fingerprint, until } => {
                 note!(logs::Event::PoisonFound, fingerprint);
                 self.poison.fetch_add(1, Ordering::Relaxed);
-                let _ = self.tells.send(Tell::Poison { fingerprint, until });
+                let _ = self.tells.send(Announcement::Poison { fingerprint, until });
             }
             Effect::Wake { at } => _ = self.wakes.send(at),
         }
--- a/crates/entry/src/host.rs
+++ b/crates/entry/src/host.rs
@@ -2,7 +2,7 @@
 
 use base::{Clock, Ms, RequestId, SystemClock};
 use conf::Settings;
-use gossip::{Node, NodeConfig, Tell};
+use gossip::{Announcement, Node, NodeConfig};
 use journal::{Journal, Sharded, ShardedConfig};
 use link::{Bounds, Handler, Served, Stop, serve};
 use logs::note;
@@ -67,7 +67,7 @@
             journal: journal.clone(),
             dial: Arc::new(Targets::new(settings.limits.connect_ms)),
             ids: Box::new(RequestId::fresh),
-            tells: node.tells(),
+            tells: node.announcements(),
             wakes,
         };
         let reducer = Box::new(State::new(placed(&settings), &[]));
@@ -126,7 +126,7 @@
     pub async fn close(self) -> Stopped {
         note!(logs::Event::HostDraining, open = self.core.open());
         // A node that has stopped has told its peers already.
-        let _ = self.node.tells().send(Tell::Leaving);
+        let _ = self.node.announcements().send(Announcement::Leaving);
         self.core.feed(Event::Drain);
         let settings = self.core.settings();
         let end = self.core.now() + settings.drain_ms;
--- a/crates/gossip/src/event.rs
+++ b/crates/gossip/src/event.rs
@@ -6,7 +6,7 @@
 use store::StoreError;
 use wire::{CacheEvents, Exchange, LoadReport, ObjectList};
 
-use crate::{News, Tell};
+use crate::{Announcement, News};
 
 /// Kinds of the platform's objects that a node reads.
 #[derive(Clone, Copy, Debug, PartialEq, Eq, PartialOrd, Ord, Hash)]
@@ -75,7 +75,7 @@
         events: Option<CacheEvents>,
     },
     /// The host has something to tell.
-    Told(Tell),
+    Announce(Announcement),
 }
 
 /// Something to do.
@@ -124,7 +124,7 @@
         /// Of an engine: the first cache event that is wanted.
         since: Option<u64>,
     },
-    /// Tell the host.
+    /// Announcement the host.
     News(News),
     /// The live hosts, or what is known of them, changed.
     View,
--- a/crates/gossip/src/lib.rs
+++ b/crates/gossip/src/lib.rs
@@ -26,7 +26,7 @@
 
 pub use event::{CallId, Effect, Event, Kind};
 pub use fleet::{Checker, Parser};
-pub use news::{News, Tell};
+pub use news::{Announcement, News};
 pub use node::{FLEET_KIND, FLEET_NAME, Node, NodeConfig};
 pub use reader::{Counters, Reader};
 pub use rules::{Rules, Safeguard};
--- a/crates/gossip/src/news.rs
+++ b/crates/gossip/src/news.rs
@@ -69,7 +69,7 @@
 
 /// Something to tell the other hosts.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
-pub enum Tell {
+pub enum Announcement {
     /// A request brings targets down.
     Poison {
         /// Fingerprint of the request.
--- a/crates/gossip/src/node.rs
+++ b/crates/gossip/src/node.rs
@@ -20,7 +20,7 @@
 
 use crate::event::{CallId, Effect, Event};
 use crate::reader::Reader;
-use crate::{News, Parser, Rules, State, Tell};
+use crate::{Announcement, News, Parser, Rules, State};
 
 /// Kind of the configuration's object.
 pub const FLEET_KIND: &str = "fleet";
@@ -51,7 +51,7 @@
 /// One host's node.
 pub struct Node {
     shared: Arc<Shared>,
-    tells: mpsc::UnboundedSender<Tell>,
+    tells: mpsc::UnboundedSender<Announcement>,
     addr: SocketAddr,
     listener: Listener,
     tasks: Vec<JoinHandle<()>>,
@@ -110,7 +110,7 @@
     }
 
     /// Where to tell the other hosts something.
-    pub fn tells(&self) -> mpsc::UnboundedSender<Tell> {
+    pub fn announcements(&self) -> mpsc::UnboundedSender<Announcement> {
         self.tells.clone()
     }
 
@@ -148,7 +148,7 @@
     /// Says that this host leaves; it still answers.
     pub fn leave(&self) {
         // A node that has stopped has told its peers already.
-        let _ = self.tells.send(Tell::Leaving);
+        let _ = self.tells.send(Announcement::Leaving);
     }
 
     /// Stops it: tells the peers that it leaves, unless they know, and closes its connections.
@@ -180,9 +180,9 @@
     }
 }
 
-async fn hear(shared: Arc<Shared>, mut told: mpsc::UnboundedReceiver<Tell>) {
+async fn hear(shared: Arc<Shared>, mut told: mpsc::UnboundedReceiver<Announcement>) {
     while let Some(tell) = told.recv().await {
-        shared.feed(Event::Told(tell));
+        shared.feed(Event::Announce(tell));
     }
 }
 
@@ -289,7 +289,7 @@
         let mut effects = Vec::new();
         let now = self.clock.now();
         let mut state = self.lock();
-        state.reduce(now, Event::Told(Tell::Leaving), &mut effects);
+        state.reduce(now, Event::Announce(Announcement::Leaving), &mut effects);
         state.last_word(now, &mut effects);
         drop(state);
         let calls = effects.into_iter().filter_map(|effect| match effect {
--- a/crates/gossip/src/state.rs
+++ b/crates/gossip/src/state.rs
@@ -15,7 +15,7 @@
 use crate::leaving::Leaving;
 use crate::loads::Loads;
 use crate::members::Members;
-use crate::news::{News, Tell};
+use crate::news::{Announcement, News};
 use crate::platform::Platform;
 use crate::poison::Poison;
 use crate::polls::Polls;
@@ -138,10 +138,10 @@
             Event::Polled { target, report, events } => {
                 self.reported(&target, report, events, now, out);
             }
-            Event::Told(Tell::Poison { fingerprint, until }) => {
+            Event::Announce(Announcement::Poison { fingerprint, until }) => {
                 self.poisoned(&PoisonMark { fingerprint, until_ms: until.0 }, now, out);
             }
-            Event::Told(Tell::Leaving) => self.depart(now),
+            Event::Announce(Announcement::Leaving) => self.depart(now),
         }
         if self.regroup {
             self.regroup(now, out);
--- a/crates/gossip/tests/faults.rs
+++ b/crates/gossip/tests/faults.rs
@@ -1,7 +1,7 @@
 //! Single faults in virtual time: what a host or its callers see, and when it ends.
 
 use base::{Ms, Version};
-use gossip::{Rules, Safeguard, Tell};
+use gossip::{Announcement, Rules, Safeguard};
 use logs::Event as Log;
 use mesh::{Mesh, Shape, fleet_yaml, object, rules};
 use wire::{Exchange, LeavingTarget};
@@ -193,7 +193,7 @@
 fn a_poison_mark_reaches_all_within_two_rounds() {
     let mut mesh = started(|_| ());
     let at = mesh.now();
-    mesh.tell(3, Tell::Poison { fingerprint: 9, until: at + Ms::secs(600) });
+    mesh.tell(3, Announcement::Poison { fingerprint: 9, until: at + Ms::secs(600) });
     mesh.run(Ms::secs(2));
     for host in 0..6 {
         assert!(mesh.learned(host).poison.contains_key(&9), "host {host}");
@@ -204,7 +204,7 @@
 #[test]
 fn a_host_that_stops_leaves_the_view() {
     let mut mesh = started(|_| ());
-    mesh.tell(3, Tell::Leaving);
+    mesh.tell(3, Announcement::Leaving);
     mesh.run(Ms::secs(2));
     for host in 0..6 {
         assert!(!sees(&mesh, host, 3), "host {host}");
--- a/crates/gossip/tests/node.rs
+++ b/crates/gossip/tests/node.rs
@@ -4,7 +4,7 @@
 use base::{Clock, Ms, SystemClock};
 use conf::Settings;
 use fakes::{Platform, PlatformFaults, Target, TargetConfig};
-use gossip::{News, Node, NodeConfig, Tell};
+use gossip::{Announcement, News, Node, NodeConfig};
 use mesh::{Shape, fleet_yaml, object};
 use peer::{Claims, PeerClient, Peers};
 use std::net::{Ipv4Addr, SocketAddr};
@@ -120,7 +120,7 @@
         a.reader().members().len() == 2 && a.reader().members().iter().all(|m| m.generation == 1)
     })
     .await;
-    b.tells().send(Tell::Poison { fingerprint: 7, until: Ms(u64::MAX) }).unwrap();
+    b.announcements().send(Announcement::Poison { fingerprint: 7, until: Ms(u64::MAX) }).unwrap();
     until(&mut a_news, |n| matches!(n, News::Poisoned { fingerprint: 7, .. })).await;
     assert!(a.reader().counters().sent_bytes > 0 && a.reader().counters().platform_calls > 0);
     // The host that stops says so before it goes.
--- a/crates/gossip/tests/schedules/oracle.rs
+++ b/crates/gossip/tests/schedules/oracle.rs
@@ -8,7 +8,7 @@
 //! known to all; and each target is polled by exactly one host.
 
 use base::{Ms, Version};
-use gossip::{Rules, Safeguard, Tell};
+use gossip::{Announcement, Rules, Safeguard};
 use mesh::{Mesh, Shape, fleet_yaml, object, rules};
 use std::collections::BTreeMap;
 use wire::{Exchange, FleetObject, HostEntry, HostList, LeavingTarget, Object};
@@ -137,7 +137,7 @@
             Op::Poison(host) if self.mesh.runs(host) => {
                 let fingerprint = now.0;
                 let until = now + Ms::secs(3600);
-                self.mesh.tell(host, Tell::Poison { fingerprint, until });
+                self.mesh.tell(host, Announcement::Poison { fingerprint, until });
                 self.poison.push((fingerprint, host));
             }
             Op::Kill(host) => self.kill(host),
--- a/crates/mesh/src/mesh.rs
+++ b/crates/mesh/src/mesh.rs
@@ -2,7 +2,7 @@
 
 use base::{Ms, Version};
 use conf::Plan;
-use gossip::{CallId, Checker, Effect, Event, Parser, Rules, State, Tell};
+use gossip::{Announcement, CallId, Checker, Effect, Event, Parser, Rules, State};
 use peer::PeerError;
 use std::collections::{BTreeMap, HashMap, HashSet};
 use std::net::SocketAddr;
@@ -187,8 +187,8 @@
     }
 
     /// Has a host tell the others something.
-    pub fn tell(&mut self, host: usize, tell: Tell) {
-        self.feed(host, Event::Told(tell));
+    pub fn tell(&mut self, host: usize, tell: Announcement) {
+        self.feed(host, Event::Announce(tell));
     }
 
     /// Writes an object, as an operator does.
