--- a/crates/gossip/src/event.rs
+++ b/crates/gossip/src/event.rs
@@ -6,7 +6,7 @@
 use store::StoreError;
 use wire::{CacheEvents, Exchange, LoadReport, ObjectList};
 
-use crate::{Announcement, News};
+use crate::{Announcement, Update};
 
 /// Kinds of the platform's objects that a node reads.
 #[derive(Clone, Copy, Debug, PartialEq, Eq, PartialOrd, Ord, Hash)]
@@ -125,7 +125,7 @@
         since: Option<u64>,
     },
     /// Announcement the host.
-    News(News),
+    Update(Update),
     /// The live hosts, or what is known of them, changed.
     View,
     /// Write a numbered log event.
--- a/crates/gossip/src/group.rs
+++ b/crates/gossip/src/group.rs
@@ -7,9 +7,9 @@
 use wire::Member;
 
 use crate::event::Effect;
-use crate::news::News;
 use crate::rules::Safeguard;
 use crate::state::State;
+use crate::update::Update;
 
 impl State {
     /// Who is alive changed: who watches, who polls, and whom to call are worked out anew.
@@ -38,7 +38,7 @@
         let live = hosts.len().max(1) as u32;
         if live != self.live {
             self.live = live;
-            out.push(Effect::News(News::Hosts { live }));
+            out.push(Effect::Update(Update::Hosts { live }));
         }
         self.order();
         out.push(Effect::View);
--- a/crates/gossip/src/lib.rs
+++ b/crates/gossip/src/lib.rs
@@ -1,6 +1,6 @@
 //! What a host learns from the platform and from other hosts, and tells them.
 //!
-//! A [`Node`] gives [`News`] in order on a channel: the configuration in force, live hosts,
+//! A [`Node`] gives [`Update`] in order on a channel: the configuration in force, live hosts,
 //! leaving targets, loads and poison marks. It only carries out what the reducer [`State`]
 //! decides; tests play the same reducer in virtual time.
 
@@ -12,7 +12,6 @@
 mod leaving;
 mod loads;
 mod members;
-mod news;
 mod node;
 mod platform;
 mod poison;
@@ -23,11 +22,12 @@
 mod rumors;
 mod state;
 mod talk;
+mod update;
 
 pub use event::{CallId, Effect, Event, Kind};
 pub use fleet::{Checker, Parser};
-pub use news::{Announcement, News};
 pub use node::{FLEET_KIND, FLEET_NAME, Node, NodeConfig};
 pub use reader::{Counters, Reader};
 pub use rules::{Rules, Safeguard};
 pub use state::State;
+pub use update::{Announcement, Update};
--- a/crates/gossip/src/node.rs
+++ b/crates/gossip/src/node.rs
@@ -20,7 +20,7 @@
 
 use crate::event::{CallId, Effect, Event};
 use crate::reader::Reader;
-use crate::{Announcement, News, Parser, Rules, State};
+use crate::{Announcement, Parser, Rules, State, Update};
 
 /// Kind of the configuration's object.
 pub const FLEET_KIND: &str = "fleet";
@@ -64,7 +64,7 @@
     clock: Arc<dyn Clock>,
     api: Arc<dyn Api>,
     peers: Arc<dyn Peers>,
-    news: mpsc::UnboundedSender<News>,
+    news: mpsc::UnboundedSender<Update>,
     claims: OnceLock<Arc<dyn Claims>>,
     stages: OnceLock<Arc<dyn StageServer>>,
     wake: Notify,
@@ -75,12 +75,12 @@
 }
 
 impl Node {
-    /// Starts it. News come in order.
+    /// Starts it. Update come in order.
     pub async fn start(
         config: NodeConfig,
         api: Arc<dyn Api>,
         clock: Arc<dyn Clock>,
-    ) -> std::io::Result<(Self, mpsc::UnboundedReceiver<News>)> {
+    ) -> std::io::Result<(Self, mpsc::UnboundedReceiver<Update>)> {
         let settings = &config.settings;
         let bound = Bound::at(settings.peer).await?;
         let addr = bound.addr();
@@ -206,7 +206,7 @@
                 Effect::View => {
                     *self.view.write().unwrap_or_else(PoisonError::into_inner) = state.view();
                 }
-                Effect::News(news) => drop(self.news.send(news)),
+                Effect::Update(news) => drop(self.news.send(news)),
                 Effect::Note { event, subject } => note!(event, subject = %subject),
                 effect => self.start(effect),
             }
@@ -248,7 +248,7 @@
             Effect::Poll { target, address, since } => {
                 tokio::spawn(async move { shared.poll(target, address, since).await });
             }
-            Effect::Reply { .. } | Effect::News(_) | Effect::View | Effect::Note { .. } => {}
+            Effect::Reply { .. } | Effect::Update(_) | Effect::View | Effect::Note { .. } => {}
         }
     }
 
--- a/crates/gossip/src/state.rs
+++ b/crates/gossip/src/state.rs
@@ -15,12 +15,12 @@
 use crate::leaving::Leaving;
 use crate::loads::Loads;
 use crate::members::Members;
-use crate::news::{Announcement, News};
 use crate::platform::Platform;
 use crate::poison::Poison;
 use crate::polls::Polls;
 use crate::rules::{Rules, Safeguard};
 use crate::rumors::{Rumors, Topic, sends};
+use crate::update::{Announcement, Update};
 
 /// An exchange that is out.
 #[derive(Clone, Debug)]
@@ -235,7 +235,7 @@
             self.rumors.start(Topic::Pulse(me), 4);
             self.held_at = now;
             self.regroup = true;
-            out.push(Effect::News(News::Fleet(plan)));
+            out.push(Effect::Update(Update::Fleet(plan)));
             self.hurry(now);
         }
         offer
@@ -251,7 +251,7 @@
         self.rumors.start(Topic::Leaving(mark.target.clone()), full);
         if before != mark.leaving {
             let target = mark.target.as_str().into();
-            out.push(Effect::News(News::Leaving { target, leaving: mark.leaving }));
+            out.push(Effect::Update(Update::Leaving { target, leaving: mark.leaving }));
         }
         self.hurry(now);
     }
@@ -264,7 +264,7 @@
         let full = sends(self.members.alive().count());
         self.rumors.start(Topic::Poison(mark.fingerprint), full);
         let (fingerprint, until) = (mark.fingerprint, Ms(mark.until_ms));
-        out.push(Effect::News(News::Poisoned { fingerprint, until }));
+        out.push(Effect::Update(Update::Poisoned { fingerprint, until }));
         self.hurry(now);
     }
 
--- a/crates/gossip/src/talk.rs
+++ b/crates/gossip/src/talk.rs
@@ -7,10 +7,10 @@
 use crate::fleet::{self, Offer};
 use crate::loads::target_id;
 use crate::members::Change;
-use crate::news::News;
 use crate::rules::Safeguard;
 use crate::rumors::{Topic, sends};
 use crate::state::State;
+use crate::update::Update;
 
 /// Most of each kind in one message. They set a host's traffic: see docs/fleet.md.
 const PULSES: usize = 24;
@@ -187,14 +187,21 @@
             self.rumors.start(Topic::Load(load.id), HINT_SENDS);
             let Some(target) = self.loads.target(load.id).cloned() else { continue };
             let (running, queued) = (load.running, load.queued);
-            out.push(Effect::News(News::Load { target, running, queued, at }));
+            out.push(Effect::Update(Update::Load { target, running, queued, at }));
         }
         for load in &said.pools {
             let Some(at) = self.loads.heard_pool(load, now) else { continue };
             self.rumors.start(Topic::Pool(load.id), HINT_SENDS);
             let Some((domain, pool)) = self.loads.pool(load.id).cloned() else { continue };
             let (running, queued, slots) = (load.running, load.queued, load.slots);
-            out.push(Effect::News(News::DomainLoad { domain, pool, running, queued, slots, at }));
+            out.push(Effect::Update(Update::DomainLoad {
+                domain,
+                pool,
+                running,
+                queued,
+                slots,
+                at,
+            }));
         }
     }
 
@@ -215,7 +222,7 @@
             self.rumors.start(Topic::Load(id), HINT_SENDS);
         }
         let target = target.clone();
-        out.push(Effect::News(News::Load { target, running, queued, at: now }));
+        out.push(Effect::Update(Update::Load { target, running, queued, at: now }));
     }
 
     pub(crate) fn cached(&mut self, note: &CacheNote, out: &mut Vec<Effect>) {
@@ -225,7 +232,7 @@
                 self.rumors.start(Topic::Cache(note.target, note.seq), HINT_SENDS);
             }
             let CacheNote { seq, prefix, stored, .. } = *note;
-            out.push(Effect::News(News::Cache { target, seq, prefix, stored }));
+            out.push(Effect::Update(Update::Cache { target, seq, prefix, stored }));
         }
     }
 
--- a/crates/gossip/src/news.rs
+++ b/crates/gossip/src/update.rs
@@ -6,7 +6,7 @@
 
 /// Something learned.
 #[derive(Clone, Debug)]
-pub enum News {
+pub enum Update {
     /// A configuration is in force; its generation is above all earlier ones.
     Fleet(Arc<Plan>),
     /// A target is leaving, or has come back.
--- a/crates/gossip/tests/node.rs
+++ b/crates/gossip/tests/node.rs
@@ -4,7 +4,7 @@
 use base::{Clock, Ms, SystemClock};
 use conf::Settings;
 use fakes::{Platform, PlatformFaults, Target, TargetConfig};
-use gossip::{Announcement, News, Node, NodeConfig};
+use gossip::{Announcement, Node, NodeConfig, Update};
 use mesh::{Shape, fleet_yaml, object};
 use peer::{Claims, PeerClient, Peers};
 use std::net::{Ipv4Addr, SocketAddr};
@@ -44,7 +44,7 @@
     name: &str,
     platform: &Platform,
     seeds: &[SocketAddr],
-) -> (Node, UnboundedReceiver<News>) {
+) -> (Node, UnboundedReceiver<Update>) {
     let any = local();
     let mut yaml = format!(
         "host: {name}\ndomain: domain-0\nregion: region-0\nlisten: {any}\nadmin: {any}\n\
@@ -62,7 +62,7 @@
     Node::start(NodeConfig { settings, capacity: 0 }, Arc::new(api(platform)), clock).await.unwrap()
 }
 
-async fn until(news: &mut UnboundedReceiver<News>, found: impl Fn(&News) -> bool) -> News {
+async fn until(news: &mut UnboundedReceiver<Update>, found: impl Fn(&Update) -> bool) -> Update {
     let wait = async {
         loop {
             let next = news.recv().await.expect("the node runs");
@@ -109,9 +109,9 @@
         let mut seen = [false; 3];
         while seen != [true; 3] {
             match until(news, |_| true).await {
-                News::Fleet(plan) if plan.generation.0 == 1 => seen[0] = true,
-                News::Hosts { live: 2 } => seen[1] = true,
-                News::Load { .. } => seen[2] = true,
+                Update::Fleet(plan) if plan.generation.0 == 1 => seen[0] = true,
+                Update::Hosts { live: 2 } => seen[1] = true,
+                Update::Load { .. } => seen[2] = true,
                 _ => {}
             }
         }
@@ -121,7 +121,7 @@
     })
     .await;
     b.announcements().send(Announcement::Poison { fingerprint: 7, until: Ms(u64::MAX) }).unwrap();
-    until(&mut a_news, |n| matches!(n, News::Poisoned { fingerprint: 7, .. })).await;
+    until(&mut a_news, |n| matches!(n, Update::Poisoned { fingerprint: 7, .. })).await;
     assert!(a.reader().counters().sent_bytes > 0 && a.reader().counters().platform_calls > 0);
     // The host that stops says so before it goes.
     b.close().await;
@@ -138,16 +138,16 @@
     let platform = Platform::start(local()).await.unwrap();
     apply(&platform, 1, nowhere()).await;
     let (a, mut a_news) = node("host-a", &platform, &[]).await;
-    until(&mut a_news, |n| matches!(n, News::Fleet(_))).await;
+    until(&mut a_news, |n| matches!(n, Update::Fleet(_))).await;
     platform.set_faults(PlatformFaults { silent: true, ..PlatformFaults::default() });
     let (b, mut b_news) = node("host-b", &platform, &[a.addr()]).await;
-    until(&mut b_news, |n| matches!(n, News::Fleet(p) if p.generation.0 == 1)).await;
+    until(&mut b_news, |n| matches!(n, Update::Fleet(p) if p.generation.0 == 1)).await;
     assert_eq!(b.reader().fleet().unwrap().audit.len(), 1);
     // The outage ends, and a change reaches both.
     platform.set_faults(PlatformFaults::default());
     apply(&platform, 2, nowhere()).await;
     for news in [&mut a_news, &mut b_news] {
-        until(news, |n| matches!(n, News::Fleet(p) if p.generation.0 == 2)).await;
+        until(news, |n| matches!(n, Update::Fleet(p) if p.generation.0 == 2)).await;
     }
     a.close().await;
     b.close().await;
@@ -189,11 +189,11 @@
     let target = target().await;
     apply(&platform, 1, target.addr()).await;
     let (node, mut news) = node("host-a", &platform, &[]).await;
-    until(&mut news, |n| matches!(n, News::Load { .. })).await;
+    until(&mut news, |n| matches!(n, Update::Load { .. })).await;
     target.set_faults(fakes::TargetFaults { leaving: true, ..fakes::TargetFaults::default() });
-    let left = until(&mut news, |n| matches!(n, News::Leaving { .. })).await;
+    let left = until(&mut news, |n| matches!(n, Update::Leaving { .. })).await;
     assert!(
-        matches!(left, News::Leaving { leaving: true, target } if target.as_str() == "target-0")
+        matches!(left, Update::Leaving { leaving: true, target } if target.as_str() == "target-0")
     );
     node.close().await;
     target.close().await;
--- a/crates/mesh/src/host.rs
+++ b/crates/mesh/src/host.rs
@@ -1,7 +1,7 @@
 //! One host of a mesh, what it learned and what it cost.
 
 use base::Ms;
-use gossip::{Event, News, Rules, State};
+use gossip::{Event, Rules, State, Update};
 use std::collections::BTreeMap;
 use std::time::Duration;
 
@@ -38,24 +38,24 @@
 }
 
 impl Learned {
-    pub(crate) fn take(&mut self, now: Ms, news: News) {
+    pub(crate) fn take(&mut self, now: Ms, news: Update) {
         match news {
-            News::Fleet(plan) => {
+            Update::Fleet(plan) => {
                 let generation = plan.generation.0;
                 self.generations.push((now, generation, plan.fleet.deployment.clone()));
             }
-            News::Leaving { target, leaving } => {
+            Update::Leaving { target, leaving } => {
                 self.leaving.insert(target.to_string(), (now, leaving));
             }
-            News::Poisoned { fingerprint, .. } => {
+            Update::Poisoned { fingerprint, .. } => {
                 self.poison.entry(fingerprint).or_insert(now);
             }
-            News::Load { target, at, .. } => {
+            Update::Load { target, at, .. } => {
                 self.loads += 1;
                 self.load_at.insert(target.to_string(), at);
             }
-            News::Hosts { live } => self.live = live,
-            News::DomainLoad { .. } | News::Cache { .. } => {}
+            Update::Hosts { live } => self.live = live,
+            Update::DomainLoad { .. } | Update::Cache { .. } => {}
         }
     }
 }
--- a/crates/mesh/src/mesh.rs
+++ b/crates/mesh/src/mesh.rs
@@ -316,7 +316,7 @@
                 let event = self.poll(&target);
                 self.later(now + PLATFORM_MS, Item::Event { host, run, event });
             }
-            Effect::News(news) => self.hosts[host].learned.take(now, news),
+            Effect::Update(news) => self.hosts[host].learned.take(now, news),
             Effect::Note { event, subject } => {
                 self.hosts[host].learned.notes.push((event, subject));
             }
