--- a/bins/siskinwheel-bench/src/fleet.rs
+++ b/bins/siskinwheel-bench/src/fleet.rs
@@ -5,7 +5,7 @@
 
 use anyhow::Result;
 use base::{Ms, Version};
-use mesh::{Mesh, Shape, Target, fleet_yaml, object, rules};
+use mesh::{FleetSize, Mesh, Target, fleet_yaml, object, rules};
 use pico_args::Arguments;
 use rand::{RngExt, SeedableRng};
 use rand_chacha::ChaCha8Rng;
@@ -141,7 +141,7 @@
     names.iter().map(ToString::to_string).collect()
 }
 
-fn apply(mesh: &mut Mesh, shape: Shape, generation: u64) {
+fn apply(mesh: &mut Mesh, shape: FleetSize, generation: u64) {
     let before = mesh.platform.get("fleet", "fleet").cloned();
     let audit =
         before.as_ref().and_then(|o| serde_json::from_str::<wire::FleetObject>(&o.body).ok());
@@ -173,9 +173,9 @@
     kb.unwrap_or_default() / 1000.0
 }
 
-fn shape(hosts: usize, args: &Args) -> Shape {
+fn shape(hosts: usize, args: &Args) -> FleetSize {
     let domains = if hosts > 20 { 8 } else { 3 };
-    Shape { hosts, domains, targets: args.targets, workspaces: WORKSPACES }
+    FleetSize { hosts, domains, targets: args.targets, workspaces: WORKSPACES }
 }
 
 fn started(hosts: usize, seed: u64, args: &Args, own_plans: bool) -> Mesh {
@@ -244,7 +244,7 @@
 
 /// An accepted change, until it is in force everywhere; and the bytes that it costs a host over
 /// what the same time costs without one.
-fn change(all: &mut Figures, mesh: &mut Mesh, shape: Shape, generation: u64, changes: u64) {
+fn change(all: &mut Figures, mesh: &mut Mesh, shape: FleetSize, generation: u64, changes: u64) {
     let sum = |mesh: &Mesh| totals(mesh).iter().map(|t| t.0).sum::<u64>() as f64;
     mesh.measure = true;
     let start = sum(mesh);
--- a/crates/gossip/tests/faults.rs
+++ b/crates/gossip/tests/faults.rs
@@ -3,10 +3,10 @@
 use base::{Ms, Version};
 use gossip::{Announcement, Rules, Safeguard};
 use logs::Event as Log;
-use mesh::{Mesh, Shape, fleet_yaml, object, rules};
+use mesh::{FleetSize, Mesh, fleet_yaml, object, rules};
 use wire::{Exchange, LeavingTarget};
 
-const SIX: Shape = Shape { hosts: 6, domains: 3, targets: 24, workspaces: 2 };
+const SIX: FleetSize = FleetSize { hosts: 6, domains: 3, targets: 24, workspaces: 2 };
 
 fn fleet(generation: u64, change: &str) -> String {
     let yaml = fleet_yaml(SIX, generation);
--- a/crates/gossip/tests/node.rs
+++ b/crates/gossip/tests/node.rs
@@ -5,7 +5,7 @@
 use conf::Settings;
 use fakes::{Platform, PlatformFaults, Target, TargetConfig};
 use gossip::{Announcement, Node, NodeConfig, Update};
-use mesh::{Shape, fleet_yaml, object};
+use mesh::{FleetSize, fleet_yaml, object};
 use peer::{Claims, PeerClient, Peers};
 use std::net::{Ipv4Addr, SocketAddr};
 use std::sync::Arc;
@@ -13,7 +13,7 @@
 use tokio::sync::mpsc::UnboundedReceiver;
 use wire::{Claim, Finish, Grant, GrantKind};
 
-const SHAPE: Shape = Shape { hosts: 3, domains: 1, targets: 1, workspaces: 1 };
+const SHAPE: FleetSize = FleetSize { hosts: 3, domains: 1, targets: 1, workspaces: 1 };
 /// Longer than anything here takes; a test that waits this long has failed.
 const LONG: Ms = Ms::secs(30);
 
--- a/crates/gossip/tests/restart.rs
+++ b/crates/gossip/tests/restart.rs
@@ -2,14 +2,14 @@
 //! same hosts, and so the same one for each duty.
 
 use base::Ms;
-use mesh::{Mesh, Shape, rules};
+use mesh::{FleetSize, Mesh, rules};
 
 /// Longest time in which the hosts of a fleet may come up, ms.
 const SPREAD: Ms = Ms(300);
 
 /// A fleet whose hosts know the same three of each other at their start.
 fn fleet(hosts: usize, seed: u64) -> Mesh {
-    let shape = Shape { hosts, domains: 6, targets: 24, workspaces: 5 };
+    let shape = FleetSize { hosts, domains: 6, targets: 24, workspaces: 5 };
     let mut all: Vec<_> = (0..hosts).map(|i| rules(shape, i, seed)).collect();
     let seeds: Vec<_> = all.iter().take(3).map(|r| r.address).collect();
     for rules in &mut all {
--- a/crates/gossip/tests/schedules/oracle.rs
+++ b/crates/gossip/tests/schedules/oracle.rs
@@ -9,7 +9,7 @@
 
 use base::{Ms, Version};
 use gossip::{Announcement, Rules, Safeguard};
-use mesh::{Mesh, Shape, fleet_yaml, object, rules};
+use mesh::{FleetSize, Mesh, fleet_yaml, object, rules};
 use std::collections::BTreeMap;
 use wire::{Exchange, FleetObject, HostEntry, HostList, LeavingTarget, Object};
 
@@ -19,7 +19,7 @@
 /// re-list, and the time to suspect a host and hear of it again.
 pub const WHOLE: Ms = Ms::secs(75);
 
-const SHAPE: Shape = Shape { hosts: HOSTS, domains: DOMAINS, targets: 12, workspaces: 2 };
+const SHAPE: FleetSize = FleetSize { hosts: HOSTS, domains: DOMAINS, targets: 12, workspaces: 2 };
 /// The target that operators mark, the one that speaks for itself, the one in the list.
 const MARKED: &str = "target-0";
 const SPEAKS: &str = "target-1";
--- a/crates/gossip/tests/spread.rs
+++ b/crates/gossip/tests/spread.rs
@@ -2,13 +2,13 @@
 //! membership reach everyone.
 
 use base::{Ms, Version};
-use mesh::{Mesh, Shape, fleet_yaml, object, rules};
+use mesh::{FleetSize, Mesh, fleet_yaml, object, rules};
 
-fn shape(hosts: usize) -> Shape {
-    Shape { hosts, domains: if hosts > 20 { 8 } else { 3 }, targets: 24, workspaces: 5 }
+fn shape(hosts: usize) -> FleetSize {
+    FleetSize { hosts, domains: if hosts > 20 { 8 } else { 3 }, targets: 24, workspaces: 5 }
 }
 
-fn apply(mesh: &mut Mesh, shape: Shape, generation: u64) {
+fn apply(mesh: &mut Mesh, shape: FleetSize, generation: u64) {
     let expected = mesh.platform.get("fleet", "fleet").map_or(0, |o| o.version);
     let object =
         object(generation, &format!("change-{generation}"), fleet_yaml(shape, generation), &[]);
@@ -16,7 +16,7 @@
     mesh.put("fleet", "fleet", Version(expected), body).unwrap();
 }
 
-fn started(hosts: usize) -> (Mesh, Shape) {
+fn started(hosts: usize) -> (Mesh, FleetSize) {
     let shape = shape(hosts);
     let mut mesh = Mesh::new((0..hosts).map(|i| rules(shape, i, 1)).collect());
     apply(&mut mesh, shape, 1);
--- a/crates/mesh/src/fleet.rs
+++ b/crates/mesh/src/fleet.rs
@@ -8,7 +8,7 @@
 
 /// Sizes of a fleet.
 #[derive(Clone, Copy, Debug)]
-pub struct Shape {
+pub struct FleetSize {
     /// Entry hosts.
     pub hosts: usize,
     /// Failure domains, at least one.
@@ -20,7 +20,7 @@
 }
 
 /// Bounds and identity of host `i`, with the settings' defaults.
-pub fn rules(shape: Shape, i: usize, seed: u64) -> Rules {
+pub fn rules(shape: FleetSize, i: usize, seed: u64) -> Rules {
     let address = |i: usize| {
         SocketAddr::from((Ipv4Addr::new(10, 0, (i / 250) as u8, (i % 250) as u8 + 1), 7000))
     };
@@ -41,7 +41,7 @@
 }
 
 /// A configuration of that size; `mark` tells changes apart.
-pub fn fleet_yaml(shape: Shape, mark: u64) -> String {
+pub fn fleet_yaml(shape: FleetSize, mark: u64) -> String {
     let mut out = format!("deployment: mesh-{mark}\ncost_weight: 0.5\nregions:\n");
     for region in 0..2.min(shape.domains) {
         let _ = writeln!(out, "  - name: region-{region}\n    domains:");
