--- a/crates/gossip/src/node.rs
+++ b/crates/gossip/src/node.rs
@@ -7,7 +7,8 @@
 use link::{Pool, PoolConfig};
 use logs::note;
 use peer::{
-    Bound, Claims, Listener, PeerClient, PeerError, PeerHandler, Peers, StageServer, View, ViewHost,
+    BoundListener, Claims, Listener, PeerClient, PeerError, PeerHandler, Peers, StageServer, View,
+    ViewHost,
 };
 use serde::de::DeserializeOwned;
 use std::net::SocketAddr;
@@ -82,7 +83,7 @@
         clock: Arc<dyn Clock>,
     ) -> std::io::Result<(Self, mpsc::UnboundedReceiver<Update>)> {
         let settings = &config.settings;
-        let bound = Bound::at(settings.peer).await?;
+        let bound = BoundListener::bind(settings.peer).await?;
         let addr = bound.addr();
         let rules = Rules { capacity: config.capacity, ..Rules::new(settings, addr) };
         let (news, news_rx) = mpsc::unbounded_channel();
--- a/crates/peer/src/api.rs
+++ b/crates/peer/src/api.rs
@@ -1,4 +1,4 @@
-//! The borders between hosts.
+//! Traits for calls between hosts, one for each side of a call.
 
 use async_trait::async_trait;
 use base::{DomainId, HostId, Ms};
@@ -14,20 +14,20 @@
 /// Calls other hosts.
 #[async_trait]
 pub trait Peers: Send + Sync {
-    /// Swaps what both know.
+    /// Exchanges gossip state: each side sends what it knows and gets what it lacks.
     async fn exchange(&self, to: SocketAddr, exchange: Exchange) -> Result<Exchange, PeerError>;
 
     /// Asks a journal shard's preferred writer to record a key.
     async fn claim(&self, to: SocketAddr, claim: Claim) -> Result<Grant, PeerError>;
 
-    /// Asks it to record how a granted attempt ended; true when that is recorded.
+    /// Asks that writer to record how a granted attempt ended. Returns true once that is recorded.
     async fn finish(&self, to: SocketAddr, finish: Finish) -> Result<bool, PeerError>;
 }
 
-/// Answers other hosts.
+/// Handles calls from other hosts.
 #[async_trait]
 pub trait PeerHandler: Send + Sync {
-    /// Takes what a peer knows and gives what it lacks.
+    /// Merges what a peer sent and returns what the peer lacks.
     async fn exchange(&self, exchange: Exchange) -> Exchange;
 
     /// Records a key.
@@ -36,21 +36,22 @@
     /// Records how a granted attempt ended.
     async fn finish(&self, finish: Finish) -> bool;
 
-    /// Composes stage calls; none where this host doesn't.
+    /// The handler for stage calls, or `None` where this host doesn't compose them.
     fn stages(&self) -> Option<Arc<dyn StageServer>> {
         None
     }
 }
 
-/// Keeps the records of work that may not be repeated, for other hosts.
+/// Records, for other hosts, which work must not be repeated.
 ///
-/// A call goes on though its caller has given up: what it writes is recorded whole or not at all.
+/// A call runs to its end even if its caller has given up, so that a write is recorded either
+/// completely or not at all.
 #[async_trait]
 pub trait Claims: Send + Sync {
     /// Records a key.
     async fn claim(&self, claim: Claim) -> Grant;
 
-    /// Records how a granted attempt ended; true when that is recorded.
+    /// Records how a granted attempt ended. Returns true once that is recorded.
     async fn finish(&self, finish: Finish) -> bool;
 }
 
@@ -61,23 +62,23 @@
     pub host: HostId,
     /// Its failure domain.
     pub domain: DomainId,
-    /// Where it takes connections of other hosts.
+    /// Address at which it accepts connections from other hosts.
     pub address: SocketAddr,
-    /// Its share of a processor, in thousandths; 0 where it isn't told.
+    /// CPU share in thousandths, or 0 if unknown.
     pub capacity: u32,
 }
 
-/// Who is alive, as this host sees it. Two hosts may see it differently at any moment.
+/// The live hosts as seen by this host. Two hosts may have different views at any moment.
 pub trait View: Send + Sync {
-    /// The live hosts that aren't leaving, this one included, by name.
+    /// The live hosts that aren't leaving, including this one, sorted by name.
     fn hosts(&self) -> Arc<[ViewHost]>;
 }
 
-/// Calls the host that composes the stage calls of a service.
+/// Calls the host that composes (batches) the stage calls of a service.
 #[async_trait]
 pub trait StagePeers: Send + Sync {
-    /// Has all pieces of a stage made. Waits up to `within` for the results; dropped, the pieces
-    /// are withdrawn.
+    /// Submits all pieces of a stage and waits up to `within` for the results. Dropping the future
+    /// withdraws the pieces.
     async fn submit(
         &self,
         to: SocketAddr,
@@ -85,13 +86,14 @@
         within: Ms,
     ) -> Result<StageResults, PeerError>;
 
-    /// Asks for the loads of the services whose calls it composes. Also shows that it lives.
+    /// Asks for the loads of the services whose calls that host composes. An answer also shows that
+    /// the host is alive.
     async fn loads(&self, to: SocketAddr) -> Result<StageLoads, PeerError>;
 
-    /// Gives results up.
+    /// Releases results that are no longer needed.
     async fn free(&self, to: SocketAddr, free: StageFree) -> Result<(), PeerError>;
 
-    /// Tells what other hosts should know at once.
+    /// Sends information that other hosts should have at once.
     async fn news(&self, to: SocketAddr, news: HostNews) -> Result<(), PeerError>;
 
     /// Asks the host that keeps the list which engines have read a subject.
@@ -101,30 +103,30 @@
         query: SubjectQuery,
     ) -> Result<SubjectReaders, PeerError>;
 
-    /// Asks what a host knows of the platform's store. It answers once it has news, and after
-    /// `query.wait_ms` at the latest.
+    /// Asks what a host knows of the platform's store. The answer comes once there is something
+    /// new, and after `query.wait_ms` at the latest.
     async fn store(&self, to: SocketAddr, query: StoreQuery) -> Result<StoreNews, PeerError>;
 }
 
 /// Composes stage calls for other hosts.
 #[async_trait]
 pub trait StageServer: Send + Sync {
-    /// Makes all pieces of a stage. Dropped, the pieces are withdrawn.
+    /// Runs all pieces of a stage. Dropping the future withdraws the pieces.
     async fn submit(&self, work: StageWork) -> StageResults;
 
-    /// The loads of the services whose calls this host composes.
+    /// Returns the loads of the services whose calls this host composes.
     async fn loads(&self) -> StageLoads;
 
-    /// Results are given up.
+    /// Releases results that are no longer needed.
     async fn free(&self, free: StageFree);
 
-    /// What another host found out.
+    /// Takes information that another host sent.
     async fn news(&self, news: HostNews);
 
-    /// Engines that have read a subject.
+    /// Returns the engines that have read a subject.
     async fn readers(&self, query: SubjectQuery) -> SubjectReaders;
 
-    /// What this host knows of the platform's store, once there is something that the asker
-    /// lacks, and after `query.wait_ms` at the latest.
+    /// Returns what this host knows of the platform's store, once there is something that the
+    /// caller lacks, and after `query.wait_ms` at the latest.
     async fn store(&self, query: StoreQuery) -> StoreNews;
 }
--- a/crates/peer/src/lib.rs
+++ b/crates/peer/src/lib.rs
@@ -1,7 +1,7 @@
 //! Calls between hosts, over tarpc.
 //!
-//! [`Peers`] is the calling side and [`PeerHandler`] the answering one; both are borders, so that
-//! tests put hosts together in memory. [`PeerClient`] and [`Listener`] are the real ones.
+//! [`Peers`] is the calling side and [`PeerHandler`] the answering one; both are traits, so that
+//! tests can connect hosts in memory. [`PeerClient`] and [`Listener`] implement them over TCP.
 
 mod api;
 mod client;
@@ -12,5 +12,5 @@
 pub use api::{Claims, PeerHandler, Peers, StagePeers, StageServer, View, ViewHost};
 pub use client::PeerClient;
 pub use error::PeerError;
-pub use listener::{Bound, Listener};
+pub use listener::{BoundListener, Listener};
 pub use size::{answer_bytes, call_bytes};
--- a/crates/peer/src/listener.rs
+++ b/crates/peer/src/listener.rs
@@ -1,4 +1,4 @@
-//! Answering other hosts over tarpc.
+//! The server for calls from other hosts, over tarpc.
 
 use base::Ms;
 use futures::StreamExt;
@@ -20,18 +20,21 @@
 
 use crate::PeerHandler;
 
-/// Largest message either way, bytes: a full exchange carries the configuration, up to a
-/// megabyte. Both ends hold the same bound, or one would send what the other cuts off.
-pub(crate) const FRAME_BYTES: usize = 4 << 20;
-/// Connections of other hosts that are served at once.
-const CONNECTIONS: usize = 1024;
-/// A connection without a call for this long is closed, ms. Callers let theirs go sooner; one
-/// that stays is of a host that is gone, and would hold its place for good.
+/// Largest message in either direction, bytes. A full exchange carries the configuration, up to a
+/// megabyte. Both ends use the same limit; otherwise one would send frames that the other rejects.
+pub(crate) const MAX_FRAME_BYTES: usize = 4 << 20;
+/// Most connections from other hosts that are served at once.
+const MAX_CONNECTIONS: usize = 1024;
+/// A connection without a call for this long is closed, ms. Callers close theirs sooner; a
+/// connection that stays open longer belongs to a host that is gone and would otherwise occupy its
+/// slot for good.
 const IDLE_MS: Ms = Ms::secs(60);
-/// Wait after a failed accept, ms: out of file descriptors, trying again at once would spin.
-const ACCEPT_MS: Ms = Ms(10);
+/// Delay after a failed accept, ms. When file descriptors have run out, accepting again at once
+/// would spin.
+const ACCEPT_RETRY_MS: Ms = Ms(10);
 
-/// The calls, as tarpc has them.
+/// The tarpc service. The codec is positional: the order of methods and arguments is part of the
+/// protocol.
 #[tarpc::service]
 pub(crate) trait PeerService {
     /// See [`PeerHandler::exchange`].
@@ -56,115 +59,116 @@
 
 #[derive(Clone)]
 struct Server {
-    serves: Arc<dyn PeerHandler>,
-    last: Arc<Mutex<Instant>>,
+    handler: Arc<dyn PeerHandler>,
+    last_call: Arc<Mutex<Instant>>,
 }
 
 impl Server {
     fn touch(&self) {
-        *self.last.lock().unwrap_or_else(PoisonError::into_inner) = Instant::now();
+        *self.last_call.lock().unwrap_or_else(PoisonError::into_inner) = Instant::now();
     }
 
     fn idle(&self) -> bool {
-        let last = *self.last.lock().unwrap_or_else(PoisonError::into_inner);
-        last.elapsed() >= IDLE_MS.duration()
+        let last_call = *self.last_call.lock().unwrap_or_else(PoisonError::into_inner);
+        last_call.elapsed() >= IDLE_MS.duration()
     }
 }
 
 impl PeerService for Server {
     async fn exchange(self, _: Context, exchange: Exchange) -> Exchange {
         self.touch();
-        self.serves.exchange(exchange).await
+        self.handler.exchange(exchange).await
     }
 
     async fn claim(self, _: Context, claim: Claim) -> Grant {
         self.touch();
-        // tarpc drops a call whose caller gave up. A write to the platform that is cut half way
-        // leaves its shard in doubt for everyone, so the call goes on by itself.
-        let call = tokio::spawn(async move { self.serves.claim(claim).await });
+        // tarpc drops a call whose caller gave up. A write to the platform that is cancelled half
+        // way leaves the state of its shard unknown to every host, so the call runs in a task of
+        // its own.
+        let call = tokio::spawn(async move { self.handler.claim(claim).await });
         call.await.unwrap_or_default()
     }
 
     async fn finish(self, _: Context, finish: Finish) -> bool {
         self.touch();
-        let call = tokio::spawn(async move { self.serves.finish(finish).await });
+        let call = tokio::spawn(async move { self.handler.finish(finish).await });
         call.await.unwrap_or_default()
     }
 
     async fn submit(self, _: Context, work: StageWork) -> Option<StageResults> {
         self.touch();
-        // Dropped with the call when its caller gives up: the pieces are withdrawn then.
-        Some(self.serves.stages()?.submit(work).await)
+        // tarpc drops this future when the caller gives up, and that withdraws the pieces.
+        Some(self.handler.stages()?.submit(work).await)
     }
 
     async fn loads(self, _: Context) -> Option<StageLoads> {
         self.touch();
-        Some(self.serves.stages()?.loads().await)
+        Some(self.handler.stages()?.loads().await)
     }
 
     async fn free(self, _: Context, free: StageFree) {
         self.touch();
-        if let Some(stages) = self.serves.stages() {
+        if let Some(stages) = self.handler.stages() {
             stages.free(free).await;
         }
     }
 
     async fn news(self, _: Context, news: HostNews) {
         self.touch();
-        if let Some(stages) = self.serves.stages() {
+        if let Some(stages) = self.handler.stages() {
             stages.news(news).await;
         }
     }
 
     async fn readers(self, _: Context, query: SubjectQuery) -> Option<SubjectReaders> {
         self.touch();
-        Some(self.serves.stages()?.readers(query).await)
+        Some(self.handler.stages()?.readers(query).await)
     }
 
     async fn store(self, _: Context, query: StoreQuery) -> Option<StoreNews> {
         self.touch();
-        Some(self.serves.stages()?.store(query).await)
+        Some(self.handler.stages()?.store(query).await)
     }
 }
 
-/// A port for other hosts that isn't served yet.
-pub struct Bound {
+/// A bound port for other hosts that isn't served yet.
+pub struct BoundListener {
     addr: SocketAddr,
     listener: TcpListener,
 }
 
-impl Bound {
-    /// Takes `addr`; port 0 takes a free one.
-    pub async fn at(addr: SocketAddr) -> io::Result<Self> {
+impl BoundListener {
+    /// Binds to `addr`; port 0 picks a free one.
+    pub async fn bind(addr: SocketAddr) -> io::Result<Self> {
         let listener = TcpListener::bind(addr).await?;
         Ok(Self { addr: listener.local_addr()?, listener })
     }
 
-    /// Where it will listen.
+    /// The address that it will listen at.
     pub fn addr(&self) -> SocketAddr {
         self.addr
     }
 
-    /// PeerHandler it.
-    pub fn serve(self, serves: Arc<dyn PeerHandler>) -> Listener {
-        let task = tokio::spawn(accept(self.listener, serves));
+    /// Starts serving.
+    pub fn serve(self, handler: Arc<dyn PeerHandler>) -> Listener {
+        let task = tokio::spawn(accept(self.listener, handler));
         Listener { addr: self.addr, task }
     }
 }
 
-/// A listener for other hosts.
+/// A running server for other hosts.
 pub struct Listener {
     addr: SocketAddr,
     task: JoinHandle<()>,
 }
 
 impl Listener {
-    /// Listens at `addr`; port 0 takes a free one.
-    pub async fn start(addr: SocketAddr, serves: Arc<dyn PeerHandler>) -> io::Result<Self> {
-        Ok(Bound::at(addr).await?.serve(serves))
+    /// Binds to `addr` and serves it; port 0 picks a free one.
+    pub async fn start(addr: SocketAddr, handler: Arc<dyn PeerHandler>) -> io::Result<Self> {
+        Ok(BoundListener::bind(addr).await?.serve(handler))
     }
 
-    /// Where it listens.
+    /// The address that it listens at.
     pub fn addr(&self) -> SocketAddr {
         self.addr
     }
@@ -176,9 +180,9 @@
     }
 }
 
-async fn accept(listener: TcpListener, serves: Arc<dyn PeerHandler>) {
-    let room = Arc::new(Semaphore::new(CONNECTIONS));
-    // Dropped with this task, and the connections with it.
+async fn accept(listener: TcpListener, handler: Arc<dyn PeerHandler>) {
+    let permits = Arc::new(Semaphore::new(MAX_CONNECTIONS));
+    // Dropped with this task, which closes the connections.
     let mut open = JoinSet::new();
     loop {
         let accepted = tokio::select! {
@@ -186,11 +190,12 @@
             accepted = listener.accept() => accepted,
         };
         let Ok((tcp, _)) = accepted else {
-            tokio::time::sleep(ACCEPT_MS.duration()).await;
+            tokio::time::sleep(ACCEPT_RETRY_MS.duration()).await;
             continue;
         };
-        let Ok(permit) = room.clone().try_acquire_owned() else { continue };
-        let server = Server { serves: serves.clone(), last: Arc::new(Mutex::new(Instant::now())) };
+        let Ok(permit) = permits.clone().try_acquire_owned() else { continue };
+        let server =
+            Server { handler: handler.clone(), last_call: Arc::new(Mutex::new(Instant::now())) };
         open.spawn(async move {
             connection(tcp, server).await;
             drop(permit);
@@ -199,12 +204,12 @@
 }
 
 async fn connection(tcp: TcpStream, server: Server) {
-    // A failure here leaves the connection slower, not wrong.
+    // Without TCP_NODELAY the connection is only slower.
     let _ = tcp.set_nodelay(true);
-    let frames = LengthDelimitedCodec::builder().max_frame_length(FRAME_BYTES).new_framed(tcp);
+    let frames = LengthDelimitedCodec::builder().max_frame_length(MAX_FRAME_BYTES).new_framed(tcp);
     let transport = tarpc::serde_transport::new(frames, Bincode::default());
-    let calls = BaseChannel::with_defaults(transport).execute(server.clone().serve());
-    let served = calls.for_each(|call| async {
+    let requests = BaseChannel::with_defaults(transport).execute(server.clone().serve());
+    let served = requests.for_each(|call| async {
         tokio::spawn(call);
     });
     let idle = async {
--- a/crates/peer/src/size.rs
+++ b/crates/peer/src/size.rs
@@ -1,4 +1,4 @@
-//! How large messages between hosts are on the wire.
+//! Sizes of messages between hosts on the wire.
 
 use std::pin::pin;
 use tarpc::tokio_serde::Serializer;
@@ -8,17 +8,18 @@
 
 use crate::listener::{PeerServiceRequest, PeerServiceResponse};
 
-/// Length field of a frame, bytes.
-const FRAME_HEAD: usize = 4;
+/// Size of a frame's length field.
+const FRAME_HEADER_BYTES: usize = 4;
 
-/// Bytes of an exchange as a call, frame included; what TCP and IP add isn't.
+/// Size of an exchange sent as a call, in bytes, with the frame header but without TCP and IP
+/// overhead.
 pub fn call_bytes(exchange: &Exchange) -> usize {
     let message = PeerServiceRequest::Exchange { exchange: exchange.clone() };
     let context = context::current();
     encoded(&ClientMessage::Request(Request { context, id: 0, message }))
 }
 
-/// Bytes of an exchange as an answer, frame included.
+/// Size of an exchange sent as an answer, in bytes, with the frame header.
 pub fn answer_bytes(exchange: &Exchange) -> usize {
     let message = Ok(PeerServiceResponse::Exchange(exchange.clone()));
     encoded(&Response { request_id: 0, message })
@@ -26,5 +27,5 @@
 
 fn encoded<T: serde::Serialize>(message: &T) -> usize {
     let codec = pin!(Bincode::<(), T>::default());
-    codec.serialize(message).map_or(0, |b| b.len() + FRAME_HEAD)
+    codec.serialize(message).map_or(0, |b| b.len() + FRAME_HEADER_BYTES)
 }
