--- a/crates/gossip/src/caches.rs
+++ b/crates/gossip/src/caches.rs
@@ -7,11 +7,11 @@
 use wire::CacheNote;
 
 /// Most notes that are kept.
-const MOST: usize = 512;
+const MAX_NOTES: usize = 512;
 /// Hosts that pass a note on, one after the other. Engines that restart count from the start
 /// again, so a note's count can't tell old from new; without this bound two hosts could go on
 /// giving each other the same notes for ever.
-pub(crate) const HOPS: u32 = 6;
+pub(crate) const MAX_HOPS: u32 = 6;
 
 /// The newest events, by target and count.
 #[derive(Debug, Default)]
@@ -27,11 +27,11 @@
         if self.notes.get(&key).is_some_and(|known| known.prefix == note.prefix) {
             return false;
         }
-        let passed = CacheNote { hops: note.hops.saturating_sub(1), ..*note };
-        if self.notes.insert(key, passed).is_none() {
+        let forwarded = CacheNote { hops: note.hops.saturating_sub(1), ..*note };
+        if self.notes.insert(key, forwarded).is_none() {
             self.order.push_back(key);
         }
-        if self.order.len() > MOST {
+        if self.order.len() > MAX_NOTES {
             self.order.pop_front().map(|old| self.notes.remove(&old));
         }
         true
--- a/crates/gossip/src/group.rs
+++ b/crates/gossip/src/duties.rs
@@ -13,8 +13,8 @@
 
 impl State {
     /// Who is alive changed: who watches, who polls, and whom to call are worked out anew.
-    pub(crate) fn regroup(&mut self, now: Ms, out: &mut Vec<Effect>) {
-        self.regroup = false;
+    pub(crate) fn assign_duties(&mut self, now: Ms, out: &mut Vec<Effect>) {
+        self.duties_stale = false;
         let domain = self.rules.domain.as_str();
         let mut own: Vec<(bool, u64, HostId)> = self
             .members
@@ -22,7 +22,7 @@
             .filter(|m| m.domain == domain)
             .map(|m| {
                 let score = base::hash_parts(&[b"watch", m.host.as_bytes()]);
-                let blind = m.blind && self.rules.keeps(Safeguard::BlindHandover);
+                let blind = m.blind && self.rules.is_enabled(Safeguard::BlindHandover);
                 (blind, score, HostId::from(m.host.as_str()))
             })
             .collect();
@@ -32,29 +32,29 @@
         // A host that is stopping and is the last of its domain still needs the news.
         self.platform.watch(watching || own.is_empty(), now);
         let hosts: Vec<HostId> = own.into_iter().map(|(.., host)| host).collect();
-        if let Some(held) = &self.held {
-            self.polls.share(&held.plan, &self.rules.domain, &me, &hosts, now);
+        if let Some(active) = &self.active {
+            self.polls.assign(&active.plan, &self.rules.domain, &me, &hosts, now);
         }
         let live = hosts.len().max(1) as u32;
         if live != self.live {
             self.live = live;
             out.push(Effect::Update(Update::Hosts { live }));
         }
-        self.order();
+        self.update_call_order();
         out.push(Effect::View);
     }
 
     /// Keeps the order of calls, drops hosts that went and puts new ones in at random places.
-    fn order(&mut self) {
+    fn update_call_order(&mut self) {
         let me = self.rules.host.as_str();
         let domain = self.rules.domain.as_str();
-        let wanted = |near: bool| {
-            let hosts = self.members.alive().filter(move |m| (m.domain == domain) == near);
+        let wanted = |local: bool| {
+            let hosts = self.members.alive().filter(move |m| (m.domain == domain) == local);
             hosts.filter(|m| m.host != me).map(|m| m.host.clone()).collect::<Vec<_>>()
         };
-        let (near, far) = (wanted(true), wanted(false));
-        merge_order(&mut self.near, near, &mut self.rng);
-        merge_order(&mut self.far, far, &mut self.rng);
+        let (local, remote) = (wanted(true), wanted(false));
+        merge_order(&mut self.local_peers, local, &mut self.rng);
+        merge_order(&mut self.remote_peers, remote, &mut self.rng);
     }
 
     /// This host's failure domain.
@@ -63,7 +63,7 @@
     }
 
     /// Whether the host that aggregates this domain's loads is this one.
-    pub(crate) fn aggregates(&self) -> bool {
+    pub(crate) fn is_aggregator(&self) -> bool {
         let domain = self.rules.domain.as_str();
         let own: Vec<&Member> = self.members.serving().filter(|m| m.domain == domain).collect();
         let first = base::rendezvous(b"aggregate", &own, |m| m.host.as_str());
@@ -72,7 +72,7 @@
 
     /// Version of the platform's list that a mark goes by.
     pub(crate) fn list_version(&self) -> Version {
-        Version(self.listed)
+        Version(self.hosts_version)
     }
 }
 
--- a/crates/gossip/src/talk.rs
+++ b/crates/gossip/src/exchange.rs
@@ -4,23 +4,23 @@
 use wire::{CacheNote, Digest, Exchange, Member};
 
 use crate::event::Effect;
-use crate::fleet::{self, Offer};
+use crate::fleet::{self, OfferOutcome};
 use crate::loads::target_id;
 use crate::members::Change;
 use crate::rules::Safeguard;
-use crate::rumors::{Topic, sends};
+use crate::rumors::{Topic, send_count};
 use crate::state::State;
 use crate::update::Update;
 
 /// Most of each kind in one message. They set a host's traffic: see docs/fleet.md.
-const PULSES: usize = 24;
-const MEMBERS: usize = 24;
-const MARKS: usize = 8;
-const LOADS: usize = 24;
-const POOLS: usize = 8;
-const CACHES: usize = 8;
+const MAX_PULSES: usize = 24;
+const MAX_MEMBERS: usize = 24;
+const MAX_MARKS: usize = 8;
+const MAX_LOADS: usize = 24;
+const MAX_POOLS: usize = 8;
+const MAX_CACHES: usize = 8;
 /// Most members of one message that are asked for as behind.
-pub(crate) const BEHIND: usize = 8;
+pub(crate) const MAX_BEHIND: usize = 8;
 /// Times that a load or a cache event is passed on: missed ones are replaced by the next.
 const HINT_SENDS: u32 = 4;
 
@@ -41,8 +41,8 @@
             leaving_hash: self.leaving.hash(),
             poison_hash: self.poison.hash(),
             leaving: me.leaving,
-            fleet_hash: fleet::fleet_hash(self.held.as_ref()),
-            whole: self.whole,
+            fleet_hash: fleet::fleet_hash(self.active.as_ref()),
+            whole: self.wants_full_config,
             blind: me.blind,
             capacity: me.capacity,
         }
@@ -50,28 +50,28 @@
 
     /// A message to a peer of `domain`; empty when that isn't known.
     pub(crate) fn message(&mut self, domain: &str, now: Ms) -> Exchange {
-        let near = domain == self.rules.domain.as_str();
+        let same_domain = domain == self.rules.domain.as_str();
         let mut out = Exchange { digest: Some(self.digest()), ..Exchange::default() };
-        for topic in self.rumors.take(PULSES, |t| matches!(t, Topic::Pulse(_))) {
+        for topic in self.rumors.take(MAX_PULSES, |t| matches!(t, Topic::Pulse(_))) {
             let Topic::Pulse(host) = topic else { continue };
             out.pulses.extend(self.members.pulse(&host));
         }
-        for topic in self.rumors.take(MEMBERS, |t| matches!(t, Topic::Member(_))) {
+        for topic in self.rumors.take(MAX_MEMBERS, |t| matches!(t, Topic::Member(_))) {
             let Topic::Member(host) = topic else { continue };
             out.members.extend(self.members.get(&host).cloned());
         }
-        for topic in self.rumors.take(MARKS, |t| matches!(t, Topic::Leaving(_))) {
+        for topic in self.rumors.take(MAX_MARKS, |t| matches!(t, Topic::Leaving(_))) {
             let Topic::Leaving(target) = topic else { continue };
             out.leaving.extend(self.leaving.get(&target).cloned());
         }
-        for topic in self.rumors.take(MARKS, |t| matches!(t, Topic::Poison(_))) {
+        for topic in self.rumors.take(MAX_MARKS, |t| matches!(t, Topic::Poison(_))) {
             let Topic::Poison(fingerprint) = topic else { continue };
             out.poison.extend(self.poison.get(fingerprint));
         }
-        match near {
-            true => self.hints(&mut out, now),
+        match same_domain {
+            true => self.add_domain_hints(&mut out, now),
             false => {
-                for topic in self.rumors.take(POOLS, |t| matches!(t, Topic::Pool(_))) {
+                for topic in self.rumors.take(MAX_POOLS, |t| matches!(t, Topic::Pool(_))) {
                     let Topic::Pool(id) = topic else { continue };
                     out.pools.extend(self.loads.pool_load(id, now));
                 }
@@ -81,25 +81,25 @@
     }
 
     /// What only hosts of the same domain need, and sums of other domains for them.
-    fn hints(&mut self, out: &mut Exchange, now: Ms) {
-        for topic in self.rumors.take(LOADS, |t| matches!(t, Topic::Load(_))) {
+    fn add_domain_hints(&mut self, out: &mut Exchange, now: Ms) {
+        for topic in self.rumors.take(MAX_LOADS, |t| matches!(t, Topic::Load(_))) {
             let Topic::Load(id) = topic else { continue };
             out.loads.extend(self.loads.load(id, now));
         }
-        for topic in self.rumors.take(CACHES, |t| matches!(t, Topic::Cache(..))) {
+        for topic in self.rumors.take(MAX_CACHES, |t| matches!(t, Topic::Cache(..))) {
             let Topic::Cache(id, seq) = topic else { continue };
             out.caches.extend(self.caches.get(id, seq).cloned());
         }
-        let far = |loads: &crate::loads::Loads, id: u32| loads.pool(id).is_some();
-        let wanted = |t: &Topic| matches!(t, Topic::Pool(id) if far(&self.loads, *id));
-        for topic in self.rumors.take(POOLS, wanted) {
+        let is_remote = |loads: &crate::loads::Loads, id: u32| loads.pool(id).is_some();
+        let wanted = |t: &Topic| matches!(t, Topic::Pool(id) if is_remote(&self.loads, *id));
+        for topic in self.rumors.take(MAX_POOLS, wanted) {
             let Topic::Pool(id) = topic else { continue };
             out.pools.extend(self.loads.pool_load(id, now));
         }
     }
 
     /// Adds what the sender of `theirs` lacks by its hashes, as far as it asked.
-    pub(crate) fn complete(&mut self, out: &mut Exchange, theirs: &Exchange) {
+    pub(crate) fn add_missing(&mut self, out: &mut Exchange, theirs: &Exchange) {
         let Some(digest) = &theirs.digest else { return };
         if !theirs.buckets.is_empty() {
             out.members = self.members.differing(&theirs.buckets);
@@ -110,87 +110,88 @@
                 out.poison = self.poison.all().collect();
             }
         }
-        for id in theirs.behind.iter().take(BEHIND) {
+        for id in theirs.behind.iter().take(MAX_BEHIND) {
             let host = self.members.by_id(*id).map(str::to_owned);
             out.pulses.extend(host.and_then(|h| self.members.pulse(&h)));
         }
-        self.supply(out, digest);
+        self.add_config(out, digest);
     }
 
     /// Adds the configuration, if the peer's is behind: what changed if it holds the one before,
     /// all of it otherwise. True when it was added.
-    pub(crate) fn supply(&mut self, out: &mut Exchange, theirs: &Digest) -> bool {
-        let Some(held) = &self.held else { return false };
-        let behind = theirs.generation < held.object.generation
-            || theirs.generation == held.object.generation
-                && theirs.fleet_hash != fleet::fleet_hash(Some(held));
-        if !behind || !self.rules.keeps(Safeguard::Push) {
+    pub(crate) fn add_config(&mut self, out: &mut Exchange, theirs: &Digest) -> bool {
+        let Some(active) = &self.active else { return false };
+        let behind = theirs.generation < active.object.generation
+            || theirs.generation == active.object.generation
+                && theirs.fleet_hash != fleet::fleet_hash(Some(active));
+        if !behind || !self.rules.is_enabled(Safeguard::Push) {
             return false;
         }
-        out.fleet_version = held.version;
-        match &held.delta {
+        out.fleet_version = active.version;
+        match &active.delta {
             Some(delta) if !theirs.whole && delta.from_hash == theirs.fleet_hash => {
                 out.delta = Some(delta.clone());
             }
-            _ => out.fleet = Some(held.object.clone()),
+            _ => out.fleet = Some(active.object.clone()),
         }
         true
     }
 
     /// Takes what a peer says.
-    pub(crate) fn absorb(&mut self, said: &Exchange, now: Ms, out: &mut Vec<Effect>) {
-        if let Some(digest) = &said.digest {
-            self.claim(&own_word(digest), now, out);
+    pub(crate) fn merge_exchange(&mut self, received: &Exchange, now: Ms, out: &mut Vec<Effect>) {
+        if let Some(digest) = &received.digest {
+            self.merge_claim(&sender_claim(digest), now, out);
         }
-        for member in &said.members {
-            self.claim(member, now, out);
+        for member in &received.members {
+            self.merge_claim(member, now, out);
         }
-        for pulse in &said.pulses {
+        for pulse in &received.pulses {
             if let Some(claim) = self.members.claim(pulse) {
-                self.claim(&claim, now, out);
+                self.merge_claim(&claim, now, out);
             }
         }
-        for mark in &said.leaving {
-            self.mark(mark, now, out);
+        for mark in &received.leaving {
+            self.merge_leaving(mark, now, out);
         }
-        for mark in &said.poison {
-            self.poisoned(mark, now, out);
+        for mark in &received.poison {
+            self.merge_poison(mark, now, out);
         }
-        self.configure(said, now, out);
-        self.hear_loads(said, now, out);
-        for note in &said.caches {
-            self.cached(note, out);
+        self.merge_config(received, now, out);
+        self.merge_loads(received, now, out);
+        for note in &received.caches {
+            self.merge_cache_event(note, out);
         }
     }
 
-    fn configure(&mut self, said: &Exchange, now: Ms, out: &mut Vec<Effect>) {
-        let object = match (&said.fleet, &said.delta) {
+    fn merge_config(&mut self, received: &Exchange, now: Ms, out: &mut Vec<Effect>) {
+        let object = match (&received.fleet, &received.delta) {
             (Some(object), _) => Some(object.clone()),
             (None, Some(delta)) => {
-                let object = fleet::apply(self.held.as_ref(), delta);
-                let held = self.held.as_ref().map_or(0, |h| h.object.generation);
+                let object = fleet::apply(self.active.as_ref(), delta);
+                let current = self.active.as_ref().map_or(0, |h| h.object.generation);
                 // It doesn't fit what is held here: ask for all of it.
-                self.whole |= object.is_none() && delta.generation > held;
+                self.wants_full_config |= object.is_none() && delta.generation > current;
                 object
             }
             (None, None) => None,
         };
         if let Some(object) = object {
-            let offer = self.offer(object, said.fleet_version, now, out);
-            self.whole &= !matches!(offer, Offer::Taken | Offer::Replaced | Offer::Same);
+            let offer = self.offer(object, received.fleet_version, now, out);
+            self.wants_full_config &=
+                !matches!(offer, OfferOutcome::Taken | OfferOutcome::Replaced | OfferOutcome::Same);
         }
     }
 
-    fn hear_loads(&mut self, said: &Exchange, now: Ms, out: &mut Vec<Effect>) {
-        for load in &said.loads {
-            let Some(at) = self.loads.heard(load, now) else { continue };
+    fn merge_loads(&mut self, received: &Exchange, now: Ms, out: &mut Vec<Effect>) {
+        for load in &received.loads {
+            let Some(at) = self.loads.merge_target(load, now) else { continue };
             self.rumors.start(Topic::Load(load.id), HINT_SENDS);
             let Some(target) = self.loads.target(load.id).cloned() else { continue };
             let (running, queued) = (load.running, load.queued);
             out.push(Effect::Update(Update::Load { target, running, queued, at }));
         }
-        for load in &said.pools {
-            let Some(at) = self.loads.heard_pool(load, now) else { continue };
+        for load in &received.pools {
+            let Some(at) = self.loads.merge_pool(load, now) else { continue };
             self.rumors.start(Topic::Pool(load.id), HINT_SENDS);
             let Some((domain, pool)) = self.loads.pool(load.id).cloned() else { continue };
             let (running, queued, slots) = (load.running, load.queued, load.slots);
@@ -206,7 +207,7 @@
     }
 
     /// A target's load as this host polled it.
-    pub(crate) fn polled(
+    pub(crate) fn load_polled(
         &mut self,
         target: &TargetId,
         running: u32,
@@ -216,16 +217,16 @@
     ) {
         let id = target_id(target.as_str());
         // More targets than a message holds are told less often, or the last would never be.
-        let rounds = self.loads.targets().div_ceil(LOADS) as u64;
-        let pace = Ms(self.rules.gossip_ms.0 * rounds);
-        if self.loads.polled(id, running, queued, now, pace) {
+        let rounds = self.loads.targets().div_ceil(MAX_LOADS) as u64;
+        let min_interval = Ms(self.rules.gossip_ms.0 * rounds);
+        if self.loads.record_polled(id, running, queued, now, min_interval) {
             self.rumors.start(Topic::Load(id), HINT_SENDS);
         }
         let target = target.clone();
         out.push(Effect::Update(Update::Load { target, running, queued, at: now }));
     }
 
-    pub(crate) fn cached(&mut self, note: &CacheNote, out: &mut Vec<Effect>) {
+    pub(crate) fn merge_cache_event(&mut self, note: &CacheNote, out: &mut Vec<Effect>) {
         let Some(target) = self.loads.target(note.target).cloned() else { return };
         if self.caches.merge(note) {
             if note.hops > 0 {
@@ -237,13 +238,13 @@
     }
 
     /// Takes one claim about a host and passes on what is new.
-    pub(crate) fn claim(&mut self, claim: &Member, now: Ms, out: &mut Vec<Effect>) {
-        let full = sends(self.members.alive().count());
+    pub(crate) fn merge_claim(&mut self, claim: &Member, now: Ms, out: &mut Vec<Effect>) {
+        let full = send_count(self.members.alive().count());
         let host = || claim.host.clone();
         let flags = |m: &Member| (m.status, m.leaving);
-        let heard = self.members.get(&claim.host).map(flags);
-        let dead = heard.is_some_and(|(status, _)| status == i32::from(wire::HostStatus::Dead));
-        if dead && !self.rules.keeps(Safeguard::Refutation) {
+        let known = self.members.get(&claim.host).map(flags);
+        let dead = known.is_some_and(|(status, _)| status == i32::from(wire::HostStatus::Dead));
+        if dead && !self.rules.is_enabled(Safeguard::Refutation) {
             return;
         }
         let change = self.members.merge(claim, now);
@@ -252,23 +253,23 @@
             Change::Joined => {
                 self.rumors.start(Topic::Member(host()), full);
                 self.note(logs::Event::PeerJoined, host(), out);
-                self.regroup = true;
-                self.hurry(now);
+                self.duties_stale = true;
+                self.expedite_round(now);
             }
-            Change::Moved => {
-                if claim.leaving && heard.is_some_and(|(_, leaving)| !leaving) {
+            Change::Updated => {
+                if claim.leaving && known.is_some_and(|(_, leaving)| !leaving) {
                     self.note(logs::Event::PeerLeaving, host(), out);
                 }
-                let few = heard == Some(flags(claim));
+                let few = known == Some(flags(claim));
                 self.rumors.start(Topic::Pulse(host()), if few { HINT_SENDS } else { full });
-                self.regroup = true;
+                self.duties_stale = true;
             }
-            Change::Refuted if self.rules.keeps(Safeguard::Refutation) => {
+            Change::Refuted if self.rules.is_enabled(Safeguard::Refutation) => {
                 self.rumors.start(Topic::Pulse(host()), HINT_SENDS);
             }
             Change::Refuted => {}
-            Change::Accused if self.rules.keeps(Safeguard::Refutation) => {
-                self.members.beat(|me| {
+            Change::NeedsRefutation if self.rules.is_enabled(Safeguard::Refutation) => {
+                self.members.update_self(|me| {
                     me.beat = me.beat.max(claim.beat + 1);
                     if claim.incarnation > me.incarnation {
                         me.incarnation = claim.incarnation + 1;
@@ -277,15 +278,15 @@
                 let me = self.members.me().host.clone();
                 self.rumors.start(Topic::Pulse(me.clone()), full);
                 self.rumors.start(Topic::Member(me), full);
-                self.hurry(now);
+                self.expedite_round(now);
             }
-            Change::Accused => {}
+            Change::NeedsRefutation => {}
         }
     }
 }
 
 /// What a digest says of its sender.
-fn own_word(digest: &Digest) -> Member {
+fn sender_claim(digest: &Digest) -> Member {
     Member {
         host: digest.host.clone(),
         domain: digest.domain.clone(),
--- a/crates/gossip/src/fleet.rs
+++ b/crates/gossip/src/fleet.rs
@@ -28,7 +28,7 @@
 
 /// A configuration in force.
 #[derive(Clone, Debug)]
-pub(crate) struct Held {
+pub(crate) struct ActiveConfig {
     pub(crate) object: FleetObject,
     pub(crate) version: u64,
     pub(crate) plan: Arc<Plan>,
@@ -38,7 +38,7 @@
 
 /// What came of an offer.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
-pub(crate) enum Offer {
+pub(crate) enum OfferOutcome {
     /// It is in force now.
     Taken,
     /// In force now in place of another of the same generation: two writers' change ids, of
@@ -52,13 +52,13 @@
     Refused,
 }
 
-fn order(object: &FleetObject, version: u64) -> (u64, u64, &str) {
+fn version_order(object: &FleetObject, version: u64) -> (u64, u64, &str) {
     (object.generation, version, &object.change)
 }
 
 /// Tells configurations apart; zero for none.
-pub(crate) fn fleet_hash(held: Option<&Held>) -> u64 {
-    held.map_or(0, |h| hash_of(&h.object))
+pub(crate) fn fleet_hash(active: Option<&ActiveConfig>) -> u64 {
+    active.map_or(0, |h| hash_of(&h.object))
 }
 
 fn hash_of(object: &FleetObject) -> u64 {
@@ -67,46 +67,51 @@
 
 /// Takes an offer if it is newer than what is held. With `floor` off, anything else is taken too.
 pub(crate) fn offer(
-    held: &mut Option<Held>,
+    active: &mut Option<ActiveConfig>,
     object: FleetObject,
     version: u64,
     checker: &mut dyn Checker,
-    floor: bool,
-) -> Offer {
-    if let Some(now) = held.as_mut() {
+    reject_older: bool,
+) -> OfferOutcome {
+    if let Some(current) = active.as_mut() {
         match () {
-            () if object.generation == now.object.generation
-                && object.change == now.object.change =>
+            () if object.generation == current.object.generation
+                && object.change == current.object.change =>
             {
-                now.version = now.version.max(version);
-                return Offer::Same;
+                current.version = current.version.max(version);
+                return OfferOutcome::Same;
             }
-            () if floor && order(&object, version) < order(&now.object, now.version) => {
-                return Offer::Stale;
+            () if reject_older
+                && version_order(&object, version)
+                    < version_order(&current.object, current.version) =>
+            {
+                return OfferOutcome::Stale;
             }
             () => {}
         }
     }
-    let Some(plan) = checker.check(&object) else { return Offer::Refused };
-    let replaced = held.as_ref().is_some_and(|h| h.object.generation == object.generation);
-    let delta = held.as_ref().map(|h| difference(h, &object));
-    *held = Some(Held { object, version, plan, delta });
-    if replaced { Offer::Replaced } else { Offer::Taken }
+    let Some(plan) = checker.check(&object) else { return OfferOutcome::Refused };
+    let replaced = active.as_ref().is_some_and(|h| h.object.generation == object.generation);
+    let delta = active.as_ref().map(|h| delta_from(h, &object));
+    *active = Some(ActiveConfig { object, version, plan, delta });
+    if replaced { OfferOutcome::Replaced } else { OfferOutcome::Taken }
 }
 
-fn difference(old: &Held, new: &FleetObject) -> FleetDelta {
+fn delta_from(old: &ActiveConfig, new: &FleetObject) -> FleetDelta {
     let (a, b) = (old.object.config.as_bytes(), new.config.as_bytes());
     let head = a.iter().zip(b).take_while(|(x, y)| x == y).count();
-    let head = floor_char(&new.config, &old.object.config, head);
+    let head = floor_char_boundary(&new.config, &old.object.config, head);
     let rest = a.len().min(b.len()) - head;
     let tail = a.iter().rev().zip(b.iter().rev()).take(rest).take_while(|(x, y)| x == y).count();
     let mut tail = tail;
     while !new.config.is_char_boundary(b.len() - tail) {
         tail -= 1;
     }
-    let (was, is) = (&old.object.audit, &new.audit);
+    let (old_audit, new_audit) = (&old.object.audit, &new.audit);
     // Records are added at the end and leave at the start.
-    let drop = (0..=was.len()).find(|i| is.starts_with(&was[*i..])).unwrap_or(was.len());
+    let drop = (0..=old_audit.len())
+        .find(|i| new_audit.starts_with(&old_audit[*i..]))
+        .unwrap_or(old_audit.len());
     FleetDelta {
         from: old.object.generation,
         from_hash: hash_of(&old.object),
@@ -116,14 +121,14 @@
         tail: tail as u32,
         middle: new.config[head..b.len() - tail].to_owned(),
         audit_drop: drop as u32,
-        audit: is[was.len() - drop..].to_vec(),
+        audit: new_audit[old_audit.len() - drop..].to_vec(),
         rolled: new.rolled.clone(),
         text_hash: hash_parts(&[b]),
     }
 }
 
 /// The largest cut not above `at` that splits no character of either text.
-fn floor_char(a: &str, b: &str, mut at: usize) -> usize {
+fn floor_char_boundary(a: &str, b: &str, mut at: usize) -> usize {
     while !(a.is_char_boundary(at) && b.is_char_boundary(at)) {
         at -= 1;
     }
@@ -131,9 +136,9 @@
 }
 
 /// The object that a delta leads to from what is held; `None` when it doesn't fit.
-pub(crate) fn apply(held: Option<&Held>, delta: &FleetDelta) -> Option<FleetObject> {
-    let held = held?;
-    let old = &held.object;
+pub(crate) fn apply(active: Option<&ActiveConfig>, delta: &FleetDelta) -> Option<FleetObject> {
+    let active = active?;
+    let old = &active.object;
     if delta.from != old.generation || delta.from_hash != hash_of(old) {
         return None;
     }
--- a/crates/gossip/src/leaving.rs
+++ b/crates/gossip/src/leaving.rs
@@ -8,7 +8,7 @@
 use wire::{LeavingSource, LeavingTarget};
 
 /// Most targets that are kept; the fleet has 600.
-const MOST: usize = 4096;
+const MAX_MARKS: usize = 4096;
 
 /// The marks.
 #[derive(Debug, Default)]
@@ -23,11 +23,11 @@
 
 impl Leaving {
     /// Takes a mark. True when it is newer than what was known.
-    pub(crate) fn merge(&mut self, mark: &LeavingTarget, ordered: bool) -> bool {
+    pub(crate) fn merge(&mut self, mark: &LeavingTarget, newest_wins: bool) -> bool {
         match self.marks.get(&mark.target) {
             Some(known) if known == mark => return false,
-            Some(known) if ordered && rank(mark) <= rank(known) => return false,
-            None if self.marks.len() >= MOST => return false,
+            Some(known) if newest_wins && rank(mark) <= rank(known) => return false,
+            None if self.marks.len() >= MAX_MARKS => return false,
             _ => {}
         }
         self.marks.insert(mark.target.clone(), mark.clone());
@@ -43,7 +43,7 @@
     }
 
     /// Whether the target is leaving.
-    pub(crate) fn leaves(&self, target: &str) -> bool {
+    pub(crate) fn is_leaving(&self, target: &str) -> bool {
         self.get(target).is_some_and(|m| m.leaving)
     }
 
@@ -57,20 +57,20 @@
     }
 
     /// What the target's own word adds: a mark to spread, if any.
-    pub(crate) fn own(&self, target: &str, leaving: bool, now: Ms) -> Option<LeavingTarget> {
+    pub(crate) fn own_mark(&self, target: &str, leaving: bool, now: Ms) -> Option<LeavingTarget> {
         let known = self.get(target);
-        let taken_back = known.is_some_and(|m| m.leaving && m.source() == LeavingSource::Own);
+        let revocable = known.is_some_and(|m| m.leaving && m.source() == LeavingSource::Own);
         match leaving {
-            true if !self.leaves(target) => {}
-            false if taken_back => {}
+            true if !self.is_leaving(target) => {}
+            false if revocable => {}
             _ => return None,
         }
-        Some(self.mark(target, leaving, LeavingSource::Own, 0, now))
+        Some(self.new_mark(target, leaving, LeavingSource::Own, 0, now))
     }
 
     /// What an entry of the platform's list at `version` adds. An entry that is no longer leaving
     /// takes back what an earlier version of the list said, and nothing else.
-    pub(crate) fn listed(
+    pub(crate) fn listed_mark(
         &self,
         target: &str,
         leaving: bool,
@@ -78,18 +78,18 @@
         now: Ms,
     ) -> Option<LeavingTarget> {
         let known = self.get(target);
-        let taken_back = known.is_some_and(|m| {
+        let revocable = known.is_some_and(|m| {
             m.leaving && m.source() == LeavingSource::Listed && m.version < version
         });
         match leaving {
-            true if !self.leaves(target) => {}
-            false if taken_back => {}
+            true if !self.is_leaving(target) => {}
+            false if revocable => {}
             _ => return None,
         }
-        Some(self.mark(target, leaving, LeavingSource::Listed, version, now))
+        Some(self.new_mark(target, leaving, LeavingSource::Listed, version, now))
     }
 
-    fn mark(
+    fn new_mark(
         &self,
         target: &str,
         leaving: bool,
--- a/crates/gossip/src/lib.rs
+++ b/crates/gossip/src/lib.rs
@@ -5,10 +5,10 @@
 //! decides; tests play the same reducer in virtual time.
 
 mod caches;
+mod duties;
 mod event;
+mod exchange;
 mod fleet;
-mod group;
-mod learn;
 mod leaving;
 mod loads;
 mod members;
@@ -17,11 +17,11 @@
 mod poison;
 mod polls;
 mod reader;
+mod results;
 mod round;
 mod rules;
 mod rumors;
 mod state;
-mod talk;
 mod update;
 
 pub use event::{CallId, Effect, Event, Kind};
--- a/crates/gossip/src/loads.rs
+++ b/crates/gossip/src/loads.rs
@@ -14,9 +14,9 @@
 /// A load older than this is neither used nor passed on, ms.
 const STALE_MS: Ms = Ms::secs(10);
 /// An unchanged load is told again after this, ms.
-const AGAIN_MS: Ms = Ms::secs(5);
+const REPEAT_MS: Ms = Ms::secs(5);
 /// A change smaller than one part in this many isn't told.
-const PART: u32 = 8;
+const MIN_CHANGE_DIVISOR: u32 = 8;
 
 /// Hash by which messages name a target.
 pub(crate) fn target_id(target: &str) -> u32 {
@@ -28,32 +28,33 @@
 }
 
 #[derive(Clone, Copy, Debug, Default)]
-struct Known {
+struct LoadRecord {
     running: u32,
     queued: u32,
     slots: u32,
-    at: Ms,
+    measured_at: Ms,
     /// What was told last, and when.
-    told: (u32, u32),
-    told_at: Ms,
+    last_sent: (u32, u32),
+    last_sent_at: Ms,
 }
 
-impl Known {
+impl LoadRecord {
     /// Whether it is worth telling; if so it counts as told.
-    fn tell(&mut self, now: Ms, round: Ms) -> bool {
-        let change = self.running.abs_diff(self.told.0) + self.queued.abs_diff(self.told.1);
-        let enough = ((self.told.0 + self.told.1) / PART).max(1);
-        let due = now - self.told_at >= round;
-        let tell = (due && change >= enough) || now - self.told_at >= AGAIN_MS;
-        if tell {
-            self.told = (self.running, self.queued);
-            self.told_at = now;
+    fn take_if_due(&mut self, now: Ms, round: Ms) -> bool {
+        let change =
+            self.running.abs_diff(self.last_sent.0) + self.queued.abs_diff(self.last_sent.1);
+        let enough = ((self.last_sent.0 + self.last_sent.1) / MIN_CHANGE_DIVISOR).max(1);
+        let due = now - self.last_sent_at >= round;
+        let send = (due && change >= enough) || now - self.last_sent_at >= REPEAT_MS;
+        if send {
+            self.last_sent = (self.running, self.queued);
+            self.last_sent_at = now;
         }
-        tell
+        send
     }
 
     fn load(&self, id: u32, now: Ms) -> Option<Load> {
-        let age = now - self.at;
+        let age = now - self.measured_at;
         let Self { running, queued, slots, .. } = *self;
         let age_ms = age.0 as u32;
         (age < STALE_MS).then_some(Load { id, running, queued, slots, age_ms })
@@ -62,7 +63,7 @@
 
 /// A target of this domain.
 #[derive(Clone, Debug)]
-struct Near {
+struct LocalTarget {
     target: TargetId,
     pool: PoolId,
     slots: u32,
@@ -71,52 +72,53 @@
 /// The loads.
 #[derive(Debug, Default)]
 pub(crate) struct Loads {
-    near: HashMap<u32, Near>,
-    far: HashMap<u32, (DomainId, PoolId)>,
-    targets: BTreeMap<u32, Known>,
-    pools: BTreeMap<u32, Known>,
+    local: HashMap<u32, LocalTarget>,
+    remote: HashMap<u32, (DomainId, PoolId)>,
+    targets: BTreeMap<u32, LoadRecord>,
+    pools: BTreeMap<u32, LoadRecord>,
 }
 
 impl Loads {
     /// Goes by another configuration.
-    pub(crate) fn plan(&mut self, plan: &Plan, domain: &DomainId) {
+    pub(crate) fn set_plan(&mut self, plan: &Plan, domain: &DomainId) {
         let own = plan.targets.iter().filter(|t| t.domain == *domain);
-        self.near = own
+        self.local = own
             .map(|t| {
-                let near = Near { target: t.name.clone(), pool: t.pool.clone(), slots: t.slots };
-                (target_id(t.name.as_str()), near)
+                let local =
+                    LocalTarget { target: t.name.clone(), pool: t.pool.clone(), slots: t.slots };
+                (target_id(t.name.as_str()), local)
             })
             .collect();
         let others = plan.targets.iter().filter(|t| t.domain != *domain);
-        self.far = others
+        self.remote = others
             .map(|t| {
                 let id = pool_id(t.domain.as_str(), t.pool.as_str());
                 (id, (t.domain.clone(), t.pool.clone()))
             })
             .collect();
-        self.targets.retain(|id, _| self.near.contains_key(id));
-        let near: Vec<u32> =
-            self.near.values().map(|n| pool_id(domain.as_str(), n.pool.as_str())).collect();
-        self.pools.retain(|id, _| self.far.contains_key(id) || near.contains(id));
+        self.targets.retain(|id, _| self.local.contains_key(id));
+        let local: Vec<u32> =
+            self.local.values().map(|n| pool_id(domain.as_str(), n.pool.as_str())).collect();
+        self.pools.retain(|id, _| self.remote.contains_key(id) || local.contains(id));
     }
 
     /// Targets of this domain.
     pub(crate) fn targets(&self) -> usize {
-        self.near.len()
+        self.local.len()
     }
 
     /// The target of this domain that a message names.
     pub(crate) fn target(&self, id: u32) -> Option<&TargetId> {
-        self.near.get(&id).map(|n| &n.target)
+        self.local.get(&id).map(|n| &n.target)
     }
 
     /// The pool of another domain that a message names.
     pub(crate) fn pool(&self, id: u32) -> Option<&(DomainId, PoolId)> {
-        self.far.get(&id)
+        self.remote.get(&id)
     }
 
     /// Takes what this host polled. True when it is worth telling, at most once in `round`.
-    pub(crate) fn polled(
+    pub(crate) fn record_polled(
         &mut self,
         id: u32,
         running: u32,
@@ -124,53 +126,53 @@
         now: Ms,
         round: Ms,
     ) -> bool {
-        let known = self.targets.entry(id).or_default();
-        (known.running, known.queued, known.at) = (running, queued, now);
-        known.tell(now, round)
+        let record = self.targets.entry(id).or_default();
+        (record.running, record.queued, record.measured_at) = (running, queued, now);
+        record.take_if_due(now, round)
     }
 
     /// Takes a target's load from a peer. Gives when it was true, if that is news.
-    pub(crate) fn heard(&mut self, load: &Load, now: Ms) -> Option<Ms> {
-        let known = self.near.contains_key(&load.id).then(|| self.targets.entry(load.id))?;
-        newer(known.or_default(), load, now)
+    pub(crate) fn merge_target(&mut self, load: &Load, now: Ms) -> Option<Ms> {
+        let record = self.local.contains_key(&load.id).then(|| self.targets.entry(load.id))?;
+        merge_newer(record.or_default(), load, now)
     }
 
     /// Takes a pool's load from a peer. Gives when it was true, if that is news.
-    pub(crate) fn heard_pool(&mut self, load: &Load, now: Ms) -> Option<Ms> {
-        let known = self.far.contains_key(&load.id).then(|| self.pools.entry(load.id))?;
-        newer(known.or_default(), load, now)
+    pub(crate) fn merge_pool(&mut self, load: &Load, now: Ms) -> Option<Ms> {
+        let record = self.remote.contains_key(&load.id).then(|| self.pools.entry(load.id))?;
+        merge_newer(record.or_default(), load, now)
     }
 
     /// Sums this domain's loads by pool; gives the pools that are worth telling. `leaving`
     /// targets take nothing new, so their room isn't counted.
-    pub(crate) fn sum(
+    pub(crate) fn sum_pools(
         &mut self,
         domain: &DomainId,
         now: Ms,
         round: Ms,
         leaving: impl Fn(&str) -> bool,
     ) -> Vec<u32> {
-        let mut sums: BTreeMap<u32, Known> = BTreeMap::new();
-        for (id, near) in &self.near {
-            let Some(known) = self.targets.get(id) else { continue };
-            if now - known.at >= STALE_MS {
+        let mut sums: BTreeMap<u32, LoadRecord> = BTreeMap::new();
+        for (id, local) in &self.local {
+            let Some(record) = self.targets.get(id) else { continue };
+            if now - record.measured_at >= STALE_MS {
                 continue;
             }
-            let sum = sums.entry(pool_id(domain.as_str(), near.pool.as_str())).or_default();
-            sum.running += known.running;
-            sum.queued += known.queued;
-            sum.slots += if leaving(near.target.as_str()) { 0 } else { near.slots };
+            let sum = sums.entry(pool_id(domain.as_str(), local.pool.as_str())).or_default();
+            sum.running += record.running;
+            sum.queued += record.queued;
+            sum.slots += if leaving(local.target.as_str()) { 0 } else { local.slots };
         }
-        let mut told = Vec::new();
+        let mut changed = Vec::new();
         for (id, sum) in sums {
-            let known = self.pools.entry(id).or_default();
-            (known.running, known.queued, known.slots) = (sum.running, sum.queued, sum.slots);
-            known.at = now;
-            if known.tell(now, round) {
-                told.push(id);
+            let record = self.pools.entry(id).or_default();
+            (record.running, record.queued, record.slots) = (sum.running, sum.queued, sum.slots);
+            record.measured_at = now;
+            if record.take_if_due(now, round) {
+                changed.push(id);
             }
         }
-        told
+        changed
     }
 
     /// A target's load as a message has it.
@@ -186,12 +188,12 @@
 
 /// Ages add up by the time on the way, so two reports of one target can change places when they
 /// are closer than that; a hint that is off by one poll does no harm.
-fn newer(known: &mut Known, load: &Load, now: Ms) -> Option<Ms> {
+fn merge_newer(record: &mut LoadRecord, load: &Load, now: Ms) -> Option<Ms> {
     let at = now - Ms(load.age_ms.into());
-    let news = at > known.at && now - at < STALE_MS;
-    if news {
-        (known.running, known.queued, known.slots) = (load.running, load.queued, load.slots);
-        known.at = at;
+    let is_newer = at > record.measured_at && now - at < STALE_MS;
+    if is_newer {
+        (record.running, record.queued, record.slots) = (load.running, load.queued, load.slots);
+        record.measured_at = at;
     }
-    news.then_some(at)
+    is_newer.then_some(at)
 }
--- a/crates/gossip/src/members.rs
+++ b/crates/gossip/src/members.rs
@@ -25,11 +25,11 @@
     /// A host or an incarnation that wasn't known.
     Joined,
     /// Its status, generation or flags.
-    Moved,
+    Updated,
     /// The claim is of an earlier beat and speaks of death: what is known here refutes it.
     Refuted,
     /// It speaks of this host's own death or past: this host must say that it lives.
-    Accused,
+    NeedsRefutation,
 }
 
 #[derive(Clone, Debug)]
@@ -83,7 +83,7 @@
     }
 
     /// Changes what this host says of itself, at a new beat.
-    pub(crate) fn beat(&mut self, change: impl FnOnce(&mut Member)) {
+    pub(crate) fn update_self(&mut self, change: impl FnOnce(&mut Member)) {
         let me = self.me.clone();
         let Some(record) = self.records.get_mut(&me) else { return };
         let before = record.member.incarnation;
@@ -108,7 +108,7 @@
             return if older && (claim.status == 0 || past) {
                 Change::None
             } else {
-                Change::Accused
+                Change::NeedsRefutation
             };
         }
         let Some(record) = self.records.get_mut(&claim.host) else {
@@ -134,7 +134,7 @@
             () if (claim.status, claim.leaving, claim.blind, claim.generation)
                 != (known.status, known.leaving, known.blind, known.generation) =>
             {
-                Change::Moved
+                Change::Updated
             }
             () => Change::None,
         };
@@ -199,13 +199,13 @@
 
     /// Takes hosts that stayed suspected for `patience` for dead, and forgets the long dead.
     /// Gives the newly dead.
-    pub(crate) fn expire(&mut self, now: Ms, patience: Ms) -> Vec<String> {
-        let mut gone = Vec::new();
+    pub(crate) fn expire(&mut self, now: Ms, suspect_ms: Ms) -> Vec<String> {
+        let mut newly_dead = Vec::new();
         for (host, record) in &mut self.records {
-            if record.member.status() == HostStatus::Suspect && now - record.since >= patience {
+            if record.member.status() == HostStatus::Suspect && now - record.since >= suspect_ms {
                 record.member.status = HostStatus::Dead.into();
                 record.since = now;
-                gone.push(host.clone());
+                newly_dead.push(host.clone());
             }
         }
         let old = |r: &Record| dead(&r.member) && now - r.since >= FORGET_MS;
@@ -213,10 +213,10 @@
             self.records.retain(|_, r| !old(r));
             self.ids.retain(|_, host| self.records.contains_key(host));
         }
-        if !gone.is_empty() {
+        if !newly_dead.is_empty() {
             self.hashes = None;
         }
-        gone
+        newly_dead
     }
 
     /// All of them, this host included, by name.
--- a/crates/gossip/src/node.rs
+++ b/crates/gossip/src/node.rs
@@ -28,9 +28,9 @@
 /// Name of the configuration's object.
 pub const FLEET_NAME: &str = "fleet";
 /// Largest load report or list of cache events that is read, bytes.
-const REPORT_BYTES: usize = 1 << 20;
+const MAX_REPORT_BYTES: usize = 1 << 20;
 /// Longest wait for the last word of a host that is stopping, ms.
-const LAST_WORD_MS: Ms = Ms(500);
+const LEAVE_TIMEOUT_MS: Ms = Ms(500);
 
 /// What a node is told at its start.
 #[derive(Clone, Debug)]
@@ -44,7 +44,7 @@
 #[derive(Default)]
 pub(crate) struct Counts {
     pub(crate) sent: AtomicU64,
-    pub(crate) heard: AtomicU64,
+    pub(crate) received: AtomicU64,
     pub(crate) exchanges: AtomicU64,
     pub(crate) polls: AtomicU64,
 }
@@ -52,7 +52,7 @@
 /// One host's node.
 pub struct Node {
     shared: Arc<Shared>,
-    tells: mpsc::UnboundedSender<Announcement>,
+    announcements: mpsc::UnboundedSender<Announcement>,
     addr: SocketAddr,
     listener: Listener,
     tasks: Vec<JoinHandle<()>>,
@@ -65,7 +65,7 @@
     clock: Arc<dyn Clock>,
     api: Arc<dyn Api>,
     peers: Arc<dyn Peers>,
-    news: mpsc::UnboundedSender<Update>,
+    updates: mpsc::UnboundedSender<Update>,
     claims: OnceLock<Arc<dyn Claims>>,
     stages: OnceLock<Arc<dyn StageServer>>,
     wake: Notify,
@@ -86,8 +86,8 @@
         let bound = BoundListener::bind(settings.peer).await?;
         let addr = bound.addr();
         let rules = Rules { capacity: config.capacity, ..Rules::new(settings, addr) };
-        let (news, news_rx) = mpsc::unbounded_channel();
-        let (tells, told) = mpsc::unbounded_channel();
+        let (updates, updates_rx) = mpsc::unbounded_channel();
+        let (announcements, announcements_rx) = mpsc::unbounded_channel();
         let state = State::new(rules, Box::new(Parser), clock.now());
         let shared = Arc::new(Shared {
             view: RwLock::new(state.view()),
@@ -95,7 +95,7 @@
             clock,
             api,
             peers: Arc::new(PeerClient::new(settings.silence.peer_ms)),
-            news,
+            updates,
             claims: OnceLock::new(),
             stages: OnceLock::new(),
             wake: Notify::new(),
@@ -104,15 +104,17 @@
             platform_ms: settings.silence.platform_ms,
             watch_ms: settings.silence.watch_ms,
         });
-        let listener = bound.serve(Arc::new(Answers(shared.clone())));
-        let tasks =
-            vec![tokio::spawn(drive(shared.clone())), tokio::spawn(hear(shared.clone(), told))];
-        Ok((Self { shared, tells, addr, listener, tasks }, news_rx))
+        let listener = bound.serve(Arc::new(NodeHandler(shared.clone())));
+        let tasks = vec![
+            tokio::spawn(tick_loop(shared.clone())),
+            tokio::spawn(forward_announcements(shared.clone(), announcements_rx)),
+        ];
+        Ok((Self { shared, announcements, addr, listener, tasks }, updates_rx))
     }
 
     /// Where to tell the other hosts something.
     pub fn announcements(&self) -> mpsc::UnboundedSender<Announcement> {
-        self.tells.clone()
+        self.announcements.clone()
     }
 
     /// Where other hosts connect.
@@ -122,7 +124,7 @@
 
     /// The live hosts, for who needs them.
     pub fn view(&self) -> Arc<dyn View> {
-        Arc::new(Answers(self.shared.clone()))
+        Arc::new(NodeHandler(self.shared.clone()))
     }
 
     /// Calls to other hosts, over the connections that the node keeps.
@@ -149,14 +151,14 @@
     /// Says that this host leaves; it still answers.
     pub fn leave(&self) {
         // A node that has stopped has told its peers already.
-        let _ = self.tells.send(Announcement::Leaving);
+        let _ = self.announcements.send(Announcement::Leaving);
     }
 
     /// Stops it: tells the peers that it leaves, unless they know, and closes its connections.
     pub async fn close(self) {
-        let calls = self.shared.part();
+        let calls = self.shared.announce_leaving();
         let last = futures::future::join_all(calls);
-        let _ = tokio::time::timeout(LAST_WORD_MS.duration(), last).await;
+        let _ = tokio::time::timeout(LEAVE_TIMEOUT_MS.duration(), last).await;
         for task in self.tasks {
             task.abort();
             let _ = task.await;
@@ -166,12 +168,12 @@
 }
 
 /// Ticks the reducer when it wants to be woken.
-async fn drive(shared: Arc<Shared>) {
+async fn tick_loop(shared: Arc<Shared>) {
     loop {
         let wake = shared.lock().wake();
-        let rest = wake - shared.clock.now();
+        let remaining = wake - shared.clock.now();
         tokio::select! {
-            () = tokio::time::sleep(rest.duration()) => {
+            () = tokio::time::sleep(remaining.duration()) => {
                 if shared.clock.now() >= wake {
                     shared.feed(Event::Tick);
                 }
@@ -181,9 +183,12 @@
     }
 }
 
-async fn hear(shared: Arc<Shared>, mut told: mpsc::UnboundedReceiver<Announcement>) {
-    while let Some(tell) = told.recv().await {
-        shared.feed(Event::Announce(tell));
+async fn forward_announcements(
+    shared: Arc<Shared>,
+    mut announcements_rx: mpsc::UnboundedReceiver<Announcement>,
+) {
+    while let Some(announcement) = announcements_rx.recv().await {
+        shared.feed(Event::Announce(announcement));
     }
 }
 
@@ -207,7 +212,7 @@
                 Effect::View => {
                     *self.view.write().unwrap_or_else(PoisonError::into_inner) = state.view();
                 }
-                Effect::Update(news) => drop(self.news.send(news)),
+                Effect::Update(updates) => drop(self.updates.send(updates)),
                 Effect::Note { event, subject } => note!(event, subject = %subject),
                 effect => self.start(effect),
             }
@@ -235,14 +240,14 @@
                     // place for good.
                     let bound = shared.platform_ms + shared.watch_ms;
                     let read = shared.api.list(kind.name());
-                    let result = within(bound, read).await;
+                    let result = with_timeout(bound, read).await;
                     shared.feed(Event::Listed { call, kind, result });
                 });
             }
             Effect::Watch { call, kind, after, wait } => {
                 tokio::spawn(async move {
                     let watch = shared.api.watch(kind.name(), after, wait);
-                    let result = within(wait + shared.watch_ms, watch).await;
+                    let result = with_timeout(wait + shared.watch_ms, watch).await;
                     shared.feed(Event::Listed { call, kind, result });
                 });
             }
@@ -255,18 +260,18 @@
 
     async fn exchange(&self, to: SocketAddr, exchange: Exchange) -> Result<Exchange, PeerError> {
         self.counts.exchanges.fetch_add(1, Ordering::Relaxed);
-        self.sent(peer::call_bytes(&exchange));
+        self.count_sent(peer::call_bytes(&exchange));
         let answer = self.peers.exchange(to, exchange).await?;
-        self.heard(peer::answer_bytes(&answer));
+        self.count_received(peer::answer_bytes(&answer));
         Ok(answer)
     }
 
-    fn sent(&self, bytes: usize) {
+    fn count_sent(&self, bytes: usize) {
         self.counts.sent.fetch_add(bytes as u64, Ordering::Relaxed);
     }
 
-    fn heard(&self, bytes: usize) {
-        self.counts.heard.fetch_add(bytes as u64, Ordering::Relaxed);
+    fn count_received(&self, bytes: usize) {
+        self.counts.received.fetch_add(bytes as u64, Ordering::Relaxed);
     }
 
     async fn poll(self: Arc<Self>, target: TargetId, address: SocketAddr, since: Option<u64>) {
@@ -275,10 +280,10 @@
         // A new connection each time: a kept one may have been lost track of, and a poll that
         // hangs on it would hide a target that leaves.
         let pool = Pool::new(address, config);
-        let report = read(&pool, "/v1/load", self.target_ms).await;
+        let report = read_json(&pool, "/v1/load", self.target_ms).await;
         let events = match since {
             Some(n) if report.is_some() => {
-                read(&pool, &format!("/v1/cache-events?since={n}"), self.target_ms).await
+                read_json(&pool, &format!("/v1/cache-events?since={n}"), self.target_ms).await
             }
             _ => None,
         };
@@ -286,12 +291,12 @@
     }
 
     /// Says that this host leaves, and gives the calls that say so.
-    fn part(self: &Arc<Self>) -> Vec<JoinHandle<()>> {
+    fn announce_leaving(self: &Arc<Self>) -> Vec<JoinHandle<()>> {
         let mut effects = Vec::new();
         let now = self.clock.now();
         let mut state = self.lock();
         state.reduce(now, Event::Announce(Announcement::Leaving), &mut effects);
-        state.last_word(now, &mut effects);
+        state.final_round(now, &mut effects);
         drop(state);
         let calls = effects.into_iter().filter_map(|effect| match effect {
             Effect::Exchange { to, exchange, .. } => Some((to, exchange)),
@@ -309,19 +314,19 @@
     }
 }
 
-async fn within<T>(
+async fn with_timeout<T>(
     bound: Ms,
     call: impl Future<Output = Result<T, StoreError>>,
 ) -> Result<T, StoreError> {
     tokio::time::timeout(bound.duration(), call).await.unwrap_or(Err(StoreError::Down))
 }
 
-async fn read<T: DeserializeOwned>(pool: &Pool, path: &str, silence: Ms) -> Option<T> {
+async fn read_json<T: DeserializeOwned>(pool: &Pool, path: &str, timeout: Ms) -> Option<T> {
     let mut request = Request::new(Bytes::new());
     *request.method_mut() = Method::GET;
     *request.uri_mut() = path.parse().ok()?;
     request.headers_mut().insert(header::HOST, header::HeaderValue::from_static("target"));
-    let response = link::call(pool, request, silence, REPORT_BYTES).await.ok()?;
+    let response = link::call(pool, request, timeout, MAX_REPORT_BYTES).await.ok()?;
     match response.status() {
         StatusCode::OK => serde_json::from_slice(response.body()).ok(),
         _ => None,
@@ -329,15 +334,15 @@
 }
 
 /// The node's answers to other hosts, and its view.
-struct Answers(Arc<Shared>);
+struct NodeHandler(Arc<Shared>);
 
 #[async_trait]
-impl PeerHandler for Answers {
+impl PeerHandler for NodeHandler {
     async fn exchange(&self, exchange: Exchange) -> Exchange {
-        self.0.heard(peer::call_bytes(&exchange));
+        self.0.count_received(peer::call_bytes(&exchange));
         let exchange = Box::new(exchange);
         let reply = self.0.feed(Event::Request { call: CallId(0), exchange }).unwrap_or_default();
-        self.0.sent(peer::answer_bytes(&reply));
+        self.0.count_sent(peer::answer_bytes(&reply));
         reply
     }
 
@@ -360,7 +365,7 @@
     }
 }
 
-impl View for Answers {
+impl View for NodeHandler {
     fn hosts(&self) -> Arc<[ViewHost]> {
         self.0.view.read().unwrap_or_else(PoisonError::into_inner).clone()
     }
--- a/crates/gossip/src/poison.rs
+++ b/crates/gossip/src/poison.rs
@@ -6,7 +6,7 @@
 
 /// Most marks that are kept; beyond, those that end first go. Poison is rare: a thousand within
 /// one mark's time would mean that something else is wrong.
-const MOST: usize = 1024;
+const MAX_MARKS: usize = 1024;
 
 /// The marks.
 #[derive(Debug, Default)]
@@ -23,7 +23,7 @@
             return false;
         }
         self.marks.insert(mark.fingerprint, until);
-        if self.marks.len() > MOST {
+        if self.marks.len() > MAX_MARKS {
             let first = self.marks.iter().min_by_key(|(_, until)| **until).map(|(f, _)| *f);
             first.map(|f| self.marks.remove(&f));
         }
--- a/crates/gossip/src/reader.rs
+++ b/crates/gossip/src/reader.rs
@@ -48,7 +48,7 @@
         let get = |n: &AtomicU64| n.load(Ordering::Relaxed);
         Counters {
             sent_bytes: get(&counts.sent),
-            heard_bytes: get(&counts.heard),
+            heard_bytes: get(&counts.received),
             exchanges: get(&counts.exchanges),
             platform_calls: self.shared.lock().platform_calls(),
             polls: get(&counts.polls),
--- a/crates/gossip/src/learn.rs
+++ b/crates/gossip/src/results.rs
@@ -9,7 +9,7 @@
     Object, ObjectList,
 };
 
-use crate::caches::HOPS;
+use crate::caches::MAX_HOPS;
 use crate::event::{CallId, Effect, Kind};
 use crate::loads::target_id;
 use crate::rules::Safeguard;
@@ -19,11 +19,11 @@
 /// Name of the platform's list.
 const HOSTS_NAME: &str = "hosts";
 /// Cache events of one poll that are passed on; the rest are only used here.
-const PASSED_ON: usize = 32;
+const MAX_FORWARDED_EVENTS: usize = 32;
 
 impl State {
     /// A read or watch of the platform ended.
-    pub(crate) fn listed(
+    pub(crate) fn platform_answered(
         &mut self,
         call: CallId,
         kind: Kind,
@@ -41,7 +41,7 @@
         let blind = self.platform.blind();
         self.platform.ended(kind, call, seen, now, &self.rules, &mut self.rng);
         if blind != self.platform.blind() {
-            self.sight(!blind, out);
+            self.platform_reachability_changed(!blind, out);
         }
         // A late answer is as good as any: what it holds is ordered by its own versions.
         for object in result.iter().flat_map(|list| &list.objects) {
@@ -59,23 +59,23 @@
     /// The platform can't be reached from here any more, or can again. While it can't, another
     /// host of the domain watches: or a domain whose two watchers lost the platform, and which is
     /// cut off from the other domains, would miss what its other hosts could read.
-    fn sight(&mut self, blind: bool, out: &mut Vec<Effect>) {
+    fn platform_reachability_changed(&mut self, blind: bool, out: &mut Vec<Effect>) {
         let event = if blind { Log::PlatformDown } else { Log::PlatformBack };
         self.note(event, self.rules.host.to_string(), out);
-        self.members.beat(|me| me.blind = blind);
+        self.members.update_self(|me| me.blind = blind);
         let me = self.members.me().host.clone();
         self.rumors.start(Topic::Pulse(me), 4);
-        self.regroup = true;
+        self.duties_stale = true;
     }
 
     /// A host that has just started has nothing to compare with: from a store that gives old
     /// answers it would take back, for its callers, what was in force before. So it hears a peer
     /// first, if one answers within a round.
     fn fleet_read(&mut self, object: &Object, now: Ms, out: &mut Vec<Effect>) {
-        let wait = self.peers_first.is_some() && self.rules.keeps(Safeguard::PeersFirst);
+        let wait = self.peer_wait_until.is_some() && self.rules.is_enabled(Safeguard::PeersFirst);
         match serde_json::from_str::<FleetObject>(&object.body) {
-            Ok(fleet) if wait && self.held.is_none() => {
-                self.waiting = Some((fleet, object.version));
+            Ok(fleet) if wait && self.active.is_none() => {
+                self.deferred_config = Some((fleet, object.version));
             }
             Ok(fleet) => drop(self.offer(fleet, object.version, now, out)),
             Err(_) => self.note(Log::ConfigRefused, format!("version {}", object.version), out),
@@ -83,9 +83,9 @@
     }
 
     /// A peer answered, or none did in time: what the platform gave counts now.
-    pub(crate) fn peers_heard(&mut self, now: Ms, out: &mut Vec<Effect>) {
-        self.peers_first = None;
-        if let Some((fleet, version)) = self.waiting.take() {
+    pub(crate) fn end_peer_wait(&mut self, now: Ms, out: &mut Vec<Effect>) {
+        self.peer_wait_until = None;
+        if let Some((fleet, version)) = self.deferred_config.take() {
             self.offer(fleet, version, now, out);
         }
     }
@@ -98,7 +98,7 @@
             version: object.version,
             ..mark
         };
-        self.mark(&mark, now, out);
+        self.merge_leaving(&mark, now, out);
     }
 
     fn hosts_read(&mut self, object: &Object, now: Ms, out: &mut Vec<Effect>) {
@@ -106,12 +106,12 @@
         if Version(object.version) <= self.list_version() {
             return;
         }
-        self.listed = object.version;
-        self.list = list.hosts;
+        self.hosts_version = object.version;
+        self.hosts_list = list.hosts;
         let own = self.rules.address;
-        let plan = self.held.as_ref().map(|h| h.plan.clone());
+        let plan = self.active.as_ref().map(|h| h.plan.clone());
         let target = |name: &str| plan.as_ref().is_some_and(|p| p.target(&name.into()).is_some());
-        let listed = self.list.iter().filter(|e| !e.leaving && !target(&e.name));
+        let listed = self.hosts_list.iter().filter(|e| !e.leaving && !target(&e.name));
         let mut seeds = self.rules.seeds.clone();
         seeds.extend(
             listed.filter_map(|e| e.address.parse::<SocketAddr>().ok()).filter(|a| *a != own),
@@ -121,18 +121,18 @@
         self.seeds = seeds;
         // Names of hosts are left out: a host says itself when it stops.
         let marks: Vec<LeavingTarget> = self
-            .list
+            .hosts_list
             .iter()
             .filter(|e| self.members.get(&e.name).is_none())
-            .filter_map(|e| self.leaving.listed(&e.name, e.leaving, object.version, now))
+            .filter_map(|e| self.leaving.listed_mark(&e.name, e.leaving, object.version, now))
             .collect();
         for mark in marks {
-            self.mark(&mark, now, out);
+            self.merge_leaving(&mark, now, out);
         }
     }
 
     /// A poll of a target ended.
-    pub(crate) fn reported(
+    pub(crate) fn poll_ended(
         &mut self,
         target: &TargetId,
         report: Option<LoadReport>,
@@ -144,23 +144,23 @@
         // Another target may have taken over the address.
         let own = |name: &str| name.is_empty() || name == target.as_str();
         if let Some(report) = report.filter(|r| own(&r.target)) {
-            self.polled(target, report.running, report.queued, now, out);
-            if let Some(mark) = self.leaving.own(target.as_str(), report.leaving, now) {
-                self.mark(&mark, now, out);
+            self.load_polled(target, report.running, report.queued, now, out);
+            if let Some(mark) = self.leaving.own_mark(target.as_str(), report.leaving, now) {
+                self.merge_leaving(&mark, now, out);
             }
         }
         let Some(events) = events.filter(|e| own(&e.target)) else { return };
         let id = target_id(target.as_str());
-        let first = events.events.len().saturating_sub(PASSED_ON);
+        let first = events.events.len().saturating_sub(MAX_FORWARDED_EVENTS);
         for (i, event) in events.events.iter().enumerate() {
             let note = CacheNote {
                 target: id,
                 seq: event.seq,
                 prefix: hash_parts(&[event.prefix.as_bytes()]).max(1),
                 stored: event.stored,
-                hops: if i >= first { HOPS } else { 0 },
+                hops: if i >= first { MAX_HOPS } else { 0 },
             };
-            self.cached(&note, out);
+            self.merge_cache_event(&note, out);
         }
     }
 }
--- a/crates/gossip/src/round.rs
+++ b/crates/gossip/src/round.rs
@@ -9,38 +9,38 @@
 use wire::{Exchange, HostStatus, Member};
 
 use crate::event::{CallId, Effect};
+use crate::exchange::MAX_BEHIND;
 use crate::platform::Call;
 use crate::rules::Safeguard;
-use crate::rumors::{Topic, sends};
-use crate::state::{Out, State};
-use crate::talk::BEHIND;
+use crate::rumors::{Topic, send_count};
+use crate::state::{PendingCall, State};
 
 /// Rounds between two comparisons of the whole table.
-const SYNC_ROUNDS: u64 = 5;
+const SYNC_INTERVAL_ROUNDS: u64 = 5;
 /// Usual times between rounds for which a host that has started compares tables at each round.
 const JOIN_ROUNDS: u64 = 3;
 /// Rounds of such a host in the time of one.
-const JOIN_PACE: u64 = 5;
+const JOIN_SPEEDUP: u64 = 5;
 /// Rounds after which hosts that still show an older configuration are asked about.
 const BEHIND_ROUNDS: u64 = 4;
 /// Calls a round, over the whole fleet, to each dead host.
-const REJOIN: usize = 3;
+const REJOIN_CALLS: usize = 3;
 /// Most calls a round to dead hosts and seeds.
-const REJOIN_MOST: usize = 3;
+const MAX_REJOIN_CALLS: usize = 3;
 /// Failed calls in a row after which a peer is suspected. One may be a kept connection that was
 /// lost track of: the next call opens another.
-const MISSES: u32 = 2;
+const SUSPECT_MISSES: u32 = 2;
 /// One round in so many also calls an address of the settings or the platform's list.
-const SEED_ROUNDS: u32 = 10;
+const SEED_INTERVAL_ROUNDS: u32 = 10;
 
 impl State {
     /// Does what is due.
     pub(crate) fn tick(&mut self, now: Ms, out: &mut Vec<Effect>) {
         for (kind, call) in self.platform.overdue(now, &self.rules) {
-            self.listed(call, kind, Err(StoreError::Down), now, out);
+            self.platform_answered(call, kind, Err(StoreError::Down), now, out);
         }
-        let (every, silence) = (self.rules.poll_ms, self.rules.target_ms);
-        for (target, address, since) in self.polls.due(now, every, silence) {
+        let (interval, timeout) = (self.rules.poll_ms, self.rules.target_ms);
+        for (target, address, since) in self.polls.due(now, interval, timeout) {
             out.push(Effect::Poll { target, address, since });
         }
         let mut calls = self.calls;
@@ -59,48 +59,48 @@
         if now >= self.next_round {
             self.round(now, out);
         }
-        if self.peers_first.is_some_and(|end| now >= end) {
-            self.peers_heard(now, out);
+        if self.peer_wait_until.is_some_and(|end| now >= end) {
+            self.end_peer_wait(now, out);
         }
     }
 
     fn round(&mut self, now: Ms, out: &mut Vec<Effect>) {
-        let every = self.rules.gossip_ms;
+        let interval = self.rules.gossip_ms;
         let joining = self.joining(now);
         // Hosts that started together would otherwise call together for ever.
-        let spread = Ms(self.rng.random_range(0..=every.0 / 5));
+        let jitter = Ms(self.rng.random_range(0..=interval.0 / 5));
         self.next_round = match joining {
-            true => now + every.scale(1, JOIN_PACE) + spread.scale(1, JOIN_PACE),
-            false => now + every.scale(9, 10) + spread,
+            true => now + interval.scale(1, JOIN_SPEEDUP) + jitter.scale(1, JOIN_SPEEDUP),
+            false => now + interval.scale(9, 10) + jitter,
         };
-        self.next_hurry = now + every.scale(1, 4);
-        self.members.beat(|_| ());
+        self.next_expedited = now + interval.scale(1, 4);
+        self.members.update_self(|_| ());
         self.poison.expire(now);
         for host in self.members.expire(now, self.rules.suspect_ms) {
             self.note(logs::Event::PeerLost, host.clone(), out);
-            let full = sends(self.members.alive().count());
+            let full = send_count(self.members.alive().count());
             self.rumors.start(Topic::Pulse(host), full);
-            self.regroup = true;
+            self.duties_stale = true;
         }
-        if self.regroup {
+        if self.duties_stale {
             // Calls go by who is alive now.
             self.callers.retain(|_, at| now - *at < self.rules.suspect_ms);
         }
-        if self.aggregates() {
+        if self.is_aggregator() {
             let domain = self.domain().clone();
             let leaving = &self.leaving;
-            let told = self.loads.sum(&domain, now, every, |t| leaving.leaves(t));
-            for id in told {
+            let changed = self.loads.sum_pools(&domain, now, interval, |t| leaving.is_leaving(t));
+            for id in changed {
                 self.rumors.start(Topic::Pool(id), 4);
             }
         }
         // Asked of the one peer that differed: the answer may be large, and another peer may well
         // lack the same.
-        let sync = self.differs.take_if(|_| now >= self.next_sync);
+        let sync = self.sync_peer.take_if(|_| now >= self.next_sync);
         if sync.is_some() {
             self.next_sync = match joining {
                 true => now,
-                false => now + Ms(every.0 * SYNC_ROUNDS),
+                false => now + Ms(interval.0 * SYNC_INTERVAL_ROUNDS),
             };
         }
         let behind = self.behind(now);
@@ -128,93 +128,102 @@
     }
 
     /// One round at once, for a host that is stopping: it may not live to the next.
-    pub(crate) fn last_word(&mut self, now: Ms, out: &mut Vec<Effect>) {
+    pub(crate) fn final_round(&mut self, now: Ms, out: &mut Vec<Effect>) {
         self.round(now, out);
     }
 
-    fn call(&mut self, to: Out, exchange: Exchange, out: &mut Vec<Effect>) {
+    fn call(&mut self, to: PendingCall, exchange: Exchange, out: &mut Vec<Effect>) {
         let call = self.call_id();
         let address = to.to;
-        self.outs.insert(call, to);
+        self.pending_calls.insert(call, to);
         out.push(Effect::Exchange { call, to: address, exchange: Box::new(exchange) });
     }
 
     /// Some of the hosts that seem to hold an older configuration though it came some time ago.
     fn behind(&mut self, now: Ms) -> Vec<u64> {
         let mine = self.members.me().generation;
-        if now - self.held_at < Ms(self.rules.gossip_ms.0 * BEHIND_ROUNDS) {
+        if now - self.active_since < Ms(self.rules.gossip_ms.0 * BEHIND_ROUNDS) {
             return Vec::new();
         }
         let late = self.members.alive().filter(|m| m.generation < mine);
         let ids: Vec<u64> =
             late.map(|m| crate::members::pulse_id(&m.host, m.incarnation)).collect();
-        ids.sample(&mut self.rng, BEHIND).copied().collect()
+        ids.sample(&mut self.rng, MAX_BEHIND).copied().collect()
     }
 
     /// Whom to call this round: peers in turn, half of them of this domain; a peer that missed
     /// its last call at once again; and now and then one that is dead or only listed.
     /// `first` comes before all others.
-    fn choose(&mut self, first: Option<&str>) -> Vec<Out> {
+    fn choose(&mut self, first: Option<&str>) -> Vec<PendingCall> {
         let fanout = self.rules.fanout;
-        let near = if self.far.is_empty() { fanout } else { fanout.div_ceil(2) };
-        let far = if self.near.is_empty() { fanout } else { fanout - near };
+        let local_count = if self.remote_peers.is_empty() { fanout } else { fanout.div_ceil(2) };
+        let remote_count = if self.local_peers.is_empty() { fanout } else { fanout - local_count };
         let mut hosts: Vec<String> =
             self.misses.iter().filter(|(_, n)| **n == 1).map(|(h, _)| h.clone()).collect();
         hosts.truncate(fanout);
         if let Some(first) = first.filter(|host| !host.is_empty()) {
             hosts.insert(0, first.to_owned());
         }
-        for (order, most) in [(&mut self.near, near), (&mut self.far, far)] {
+        for (order, most) in
+            [(&mut self.local_peers, local_count), (&mut self.remote_peers, remote_count)]
+        {
             let most = most.min(order.len());
             hosts.extend(order.iter().take(most).cloned());
             order.rotate_left(most);
         }
-        hosts.extend(self.lost());
+        hosts.extend(self.dead_to_call());
         let mut seen = std::collections::BTreeSet::new();
         hosts.retain(|host| seen.insert(host.clone()));
-        let mut outs: Vec<Out> = hosts
+        let mut calls: Vec<PendingCall> = hosts
             .iter()
             .filter_map(|host| self.members.get(host))
             .filter_map(|m| {
                 let to = m.address.parse().ok()?;
-                Some(Out { host: m.host.clone(), to, domain: m.domain.clone(), push: false })
+                Some(PendingCall {
+                    host: m.host.clone(),
+                    to,
+                    domain: m.domain.clone(),
+                    push: false,
+                })
             })
             .collect();
-        outs.extend(self.listed_only());
-        outs
+        calls.extend(self.seeds_to_call());
+        calls
     }
 
     /// Dead hosts to call, so that the two sides of a cut find each other when it ends. A cut
     /// without this would last until both sides restart.
-    fn lost(&mut self) -> Vec<String> {
-        if !self.rules.keeps(Safeguard::Rejoin) {
+    fn dead_to_call(&mut self) -> Vec<String> {
+        if !self.rules.is_enabled(Safeguard::Rejoin) {
             return Vec::new();
         }
         let dead: Vec<&Member> =
             self.members.all().filter(|m| m.status() == HostStatus::Dead).collect();
         let alive = self.members.alive().count();
-        let mut most = REJOIN_MOST.min(dead.len());
+        let mut most = MAX_REJOIN_CALLS.min(dead.len());
         // Shared out over the live hosts: the dead are called some times a round by all together.
-        while most > 0 && self.rng.random_range(0..alive * REJOIN_MOST) >= REJOIN * dead.len() {
+        while most > 0
+            && self.rng.random_range(0..alive * MAX_REJOIN_CALLS) >= REJOIN_CALLS * dead.len()
+        {
             most -= 1;
         }
         dead.sample(&mut self.rng, most).map(|m| m.host.clone()).collect()
     }
 
     /// Addresses of the settings and the platform's list that no live host has.
-    fn listed_only(&mut self) -> Vec<Out> {
-        let alone = self.near.is_empty() && self.far.is_empty();
-        let now_and_then = self.rng.random_range(0..SEED_ROUNDS) == 0;
+    fn seeds_to_call(&mut self) -> Vec<PendingCall> {
+        let alone = self.local_peers.is_empty() && self.remote_peers.is_empty();
+        let seed_round = self.rng.random_range(0..SEED_INTERVAL_ROUNDS) == 0;
         let most = match alone {
-            true => REJOIN_MOST,
-            false if now_and_then && self.rules.keeps(Safeguard::Rejoin) => 1,
+            true => MAX_REJOIN_CALLS,
+            false if seed_round && self.rules.is_enabled(Safeguard::Rejoin) => 1,
             false => return Vec::new(),
         };
         let known: Vec<&str> = self.members.alive().map(|m| m.address.as_str()).collect();
         let other = |a: &&SocketAddr| !known.contains(&a.to_string().as_str());
         let seeds: Vec<SocketAddr> = self.seeds.iter().filter(other).copied().collect();
         let chosen = seeds.sample(&mut self.rng, most);
-        let out = |to: &SocketAddr| Out {
+        let out = |to: &SocketAddr| PendingCall {
             host: String::new(),
             to: *to,
             domain: String::new(),
@@ -227,16 +236,16 @@
     pub(crate) fn requested(
         &mut self,
         call: CallId,
-        said: &Exchange,
+        received: &Exchange,
         now: Ms,
         out: &mut Vec<Effect>,
     ) {
-        self.absorb(said, now, out);
-        let digest = said.digest.clone().unwrap_or_default();
+        self.merge_exchange(received, now, out);
+        let digest = received.digest.clone().unwrap_or_default();
         self.callers.insert(digest.host.clone(), now);
-        self.compare(said);
+        self.compare(received);
         let mut reply = self.message(&digest.domain, now);
-        self.complete(&mut reply, said);
+        self.add_missing(&mut reply, received);
         out.push(Effect::Reply { call, exchange: Box::new(reply) });
     }
 
@@ -248,37 +257,40 @@
         now: Ms,
         out: &mut Vec<Effect>,
     ) {
-        let Some(to) = self.outs.remove(&call) else { return };
-        let Ok(said) = result else { return self.missed(to, now, out) };
+        let Some(to) = self.pending_calls.remove(&call) else { return };
+        let Ok(received) = result else { return self.call_failed(to, now, out) };
         self.misses.remove(&to.host);
-        self.absorb(&said, now, out);
-        if self.peers_first.is_some() {
-            self.peers_heard(now, out);
+        self.merge_exchange(&received, now, out);
+        if self.peer_wait_until.is_some() {
+            self.end_peer_wait(now, out);
         }
-        self.compare(&said);
-        let Some(digest) = &said.digest else { return };
+        self.compare(&received);
+        let Some(digest) = &received.digest else { return };
         let mut push = Exchange { digest: Some(self.digest()), ..Exchange::default() };
-        if !to.push && self.supply(&mut push, digest) {
-            self.call(Out { push: true, ..to }, push, out);
+        if !to.push && self.add_config(&mut push, digest) {
+            self.call(PendingCall { push: true, ..to }, push, out);
         }
     }
 
     /// A peer didn't answer. One that calls here is alive all the same: the way there is cut in
     /// one direction, and to take it for dead would take work from a host that can do it.
-    fn missed(&mut self, to: Out, now: Ms, out: &mut Vec<Effect>) {
+    fn call_failed(&mut self, to: PendingCall, now: Ms, out: &mut Vec<Effect>) {
         if to.host.is_empty() {
             return;
         }
         let misses = self.misses.entry(to.host.clone()).or_default();
         *misses = misses.saturating_add(1);
         let misses = *misses;
-        let calls = self.callers.get(&to.host).is_some_and(|at| now - *at < self.rules.suspect_ms);
+        let calls_us =
+            self.callers.get(&to.host).is_some_and(|at| now - *at < self.rules.suspect_ms);
         match () {
-            () if misses < MISSES => {}
-            () if calls && misses == MISSES => self.note(logs::Event::PeerCut, to.host, out),
-            () if calls => {}
+            () if misses < SUSPECT_MISSES => {}
+            () if calls_us && misses == SUSPECT_MISSES => {
+                self.note(logs::Event::PeerCut, to.host, out)
+            }
+            () if calls_us => {}
             () if self.members.suspect(&to.host, now) => {
-                let full = sends(self.members.alive().count());
+                let full = send_count(self.members.alive().count());
                 self.rumors.start(Topic::Pulse(to.host), full);
             }
             () => {}
@@ -286,14 +298,14 @@
     }
 
     /// Notes whether a peer's table is another than this host's.
-    fn compare(&mut self, said: &Exchange) {
-        let Some(theirs) = &said.digest else { return };
+    fn compare(&mut self, received: &Exchange) {
+        let Some(theirs) = &received.digest else { return };
         let ours = self.digest();
         let differs = ours.members_hash != theirs.members_hash
             || ours.leaving_hash != theirs.leaving_hash
             || ours.poison_hash != theirs.poison_hash;
         if differs {
-            self.differs = Some(theirs.host.clone());
+            self.sync_peer = Some(theirs.host.clone());
         }
     }
 }
--- a/crates/gossip/src/rules.rs
+++ b/crates/gossip/src/rules.rs
@@ -37,7 +37,7 @@
     /// Seed of the generator.
     pub seed: u64,
     /// Which safeguard is off; tests show with it what each is for.
-    pub without: Option<Safeguard>,
+    pub disabled: Option<Safeguard>,
 }
 
 /// A safeguard that a test takes away to show what then fails.
@@ -85,12 +85,12 @@
             platform_ms: settings.silence.platform_ms,
             target_ms: settings.silence.target_ms,
             seed: settings.seed,
-            without: None,
+            disabled: None,
         }
     }
 
     /// Whether a safeguard is in its place.
-    pub(crate) fn keeps(&self, safeguard: Safeguard) -> bool {
-        self.without != Some(safeguard)
+    pub(crate) fn is_enabled(&self, safeguard: Safeguard) -> bool {
+        self.disabled != Some(safeguard)
     }
 }
--- a/crates/gossip/src/rumors.rs
+++ b/crates/gossip/src/rumors.rs
@@ -7,7 +7,7 @@
 use std::collections::BTreeMap;
 
 /// Most rumors that are kept; the ones passed on most go first.
-const MOST: usize = 4096;
+const MAX_RUMORS: usize = 4096;
 
 /// What a rumor is about.
 #[derive(Clone, Debug, PartialEq, Eq, PartialOrd, Ord)]
@@ -32,44 +32,44 @@
 #[derive(Debug, Default)]
 pub(crate) struct Rumors {
     /// How often each is still to be sent, and its turn among those that are sent as often.
-    left: BTreeMap<Topic, (u32, u64)>,
-    turn: u64,
+    remaining: BTreeMap<Topic, (u32, u64)>,
+    sequence: u64,
 }
 
 impl Rumors {
     /// Starts passing something on, or starts again.
-    pub(crate) fn start(&mut self, topic: Topic, sends: u32) {
-        if self.left.len() >= MOST {
-            let least = self.left.iter().min_by_key(|(_, n)| n.0).map(|(t, _)| t.clone());
-            least.and_then(|t| self.left.remove(&t));
+    pub(crate) fn start(&mut self, topic: Topic, send_count: u32) {
+        if self.remaining.len() >= MAX_RUMORS {
+            let least = self.remaining.iter().min_by_key(|(_, n)| n.0).map(|(t, _)| t.clone());
+            least.and_then(|t| self.remaining.remove(&t));
         }
-        self.turn += 1;
-        self.left.insert(topic, (sends, self.turn));
+        self.sequence += 1;
+        self.remaining.insert(topic, (send_count, self.sequence));
     }
 
     /// The topics for one message that `wanted` picks, at most `most`: those sent least often so
     /// far, and of these the ones that wait longest: by any fixed order the last would never be
     /// sent while more comes than messages hold. Each counts as sent.
     pub(crate) fn take(&mut self, most: usize, wanted: impl Fn(&Topic) -> bool) -> Vec<Topic> {
-        let mut found: Vec<(u32, u64, Topic)> = self
-            .left
+        let mut chosen: Vec<(u32, u64, Topic)> = self
+            .remaining
             .iter()
             .filter(|(t, _)| wanted(t))
-            .map(|(t, (n, turn))| (*n, *turn, t.clone()))
+            .map(|(t, (n, sequence))| (*n, *sequence, t.clone()))
             .collect();
-        found.sort_by_key(|(n, turn, _)| (std::cmp::Reverse(*n), *turn));
-        found.truncate(most);
-        for (n, turn, topic) in &found {
+        chosen.sort_by_key(|(n, sequence, _)| (std::cmp::Reverse(*n), *sequence));
+        chosen.truncate(most);
+        for (n, sequence, topic) in &chosen {
             match n {
-                0 | 1 => drop(self.left.remove(topic)),
-                n => drop(self.left.insert(topic.clone(), (n - 1, *turn))),
+                0 | 1 => drop(self.remaining.remove(topic)),
+                n => drop(self.remaining.insert(topic.clone(), (n - 1, *sequence))),
             }
         }
-        found.into_iter().map(|(.., t)| t).collect()
+        chosen.into_iter().map(|(.., t)| t).collect()
     }
 }
 
 /// Times that a host passes something on so that it reaches all of `hosts`.
-pub(crate) fn sends(hosts: usize) -> u32 {
+pub(crate) fn send_count(hosts: usize) -> u32 {
     2 * (usize::BITS - hosts.leading_zeros()).max(2)
 }
--- a/crates/gossip/src/state.rs
+++ b/crates/gossip/src/state.rs
@@ -11,7 +11,7 @@
 
 use crate::caches::Caches;
 use crate::event::{CallId, Effect, Event};
-use crate::fleet::{self, Checker, Held, Offer};
+use crate::fleet::{self, ActiveConfig, Checker, OfferOutcome};
 use crate::leaving::Leaving;
 use crate::loads::Loads;
 use crate::members::Members;
@@ -19,12 +19,12 @@
 use crate::poison::Poison;
 use crate::polls::Polls;
 use crate::rules::{Rules, Safeguard};
-use crate::rumors::{Rumors, Topic, sends};
+use crate::rumors::{Rumors, Topic, send_count};
 use crate::update::{Announcement, Update};
 
 /// An exchange that is out.
 #[derive(Clone, Debug)]
-pub(crate) struct Out {
+pub(crate) struct PendingCall {
     /// The host that was meant; empty for a seed.
     pub(crate) host: String,
     pub(crate) to: SocketAddr,
@@ -40,7 +40,7 @@
     pub(crate) checker: Box<dyn Checker>,
     pub(crate) members: Members,
     pub(crate) rumors: Rumors,
-    pub(crate) held: Option<Held>,
+    pub(crate) active: Option<ActiveConfig>,
     pub(crate) leaving: Leaving,
     pub(crate) poison: Poison,
     pub(crate) loads: Loads,
@@ -49,25 +49,25 @@
     pub(crate) platform: Platform,
     /// While a host that has just started waits for its peers' word: until when, and what the
     /// platform gave meanwhile.
-    pub(crate) peers_first: Option<Ms>,
-    pub(crate) waiting: Option<(FleetObject, u64)>,
+    pub(crate) peer_wait_until: Option<Ms>,
+    pub(crate) deferred_config: Option<(FleetObject, u64)>,
     pub(crate) started: Ms,
     pub(crate) next_round: Ms,
-    pub(crate) next_hurry: Ms,
+    pub(crate) next_expedited: Ms,
     pub(crate) next_sync: Ms,
     /// The peer whose tables were last seen to differ; an empty name for any.
-    pub(crate) differs: Option<String>,
+    pub(crate) sync_peer: Option<String>,
     /// A delta didn't fit: the configuration is wanted whole.
-    pub(crate) whole: bool,
+    pub(crate) wants_full_config: bool,
     /// Who is alive changed, and with it who does what.
-    pub(crate) regroup: bool,
+    pub(crate) duties_stale: bool,
     /// When the configuration in force came.
-    pub(crate) held_at: Ms,
-    pub(crate) outs: BTreeMap<CallId, Out>,
+    pub(crate) active_since: Ms,
+    pub(crate) pending_calls: BTreeMap<CallId, PendingCall>,
     pub(crate) calls: u64,
     /// Peers of this domain and of the others, in the order in which they are called.
-    pub(crate) near: VecDeque<String>,
-    pub(crate) far: VecDeque<String>,
+    pub(crate) local_peers: VecDeque<String>,
+    pub(crate) remote_peers: VecDeque<String>,
     /// Failed calls in a row to each host.
     pub(crate) misses: BTreeMap<String, u32>,
     /// When each host last called here.
@@ -75,8 +75,8 @@
     /// Addresses to learn from, by settings and the platform's list.
     pub(crate) seeds: Vec<SocketAddr>,
     /// Newest version of the platform's list that was read.
-    pub(crate) listed: u64,
-    pub(crate) list: Vec<wire::HostEntry>,
+    pub(crate) hosts_version: u64,
+    pub(crate) hosts_list: Vec<wire::HostEntry>,
     pub(crate) live: u32,
 }
 
@@ -97,32 +97,32 @@
             checker,
             members: Members::new(me, now),
             rumors: Rumors::default(),
-            held: None,
+            active: None,
             leaving: Leaving::default(),
             poison: Poison::default(),
             loads: Loads::default(),
             caches: Caches::default(),
             polls: Polls::default(),
             platform: Platform::new(now, &rules),
-            peers_first: (!rules.seeds.is_empty()).then(|| now + rules.gossip_ms),
-            waiting: None,
+            peer_wait_until: (!rules.seeds.is_empty()).then(|| now + rules.gossip_ms),
+            deferred_config: None,
             started: now,
             next_round: now,
-            next_hurry: now,
+            next_expedited: now,
             next_sync: now,
-            differs: Some(String::new()),
-            whole: false,
-            regroup: true,
-            held_at: now,
-            outs: BTreeMap::new(),
+            sync_peer: Some(String::new()),
+            wants_full_config: false,
+            duties_stale: true,
+            active_since: now,
+            pending_calls: BTreeMap::new(),
             calls: 0,
-            near: VecDeque::new(),
-            far: VecDeque::new(),
+            local_peers: VecDeque::new(),
+            remote_peers: VecDeque::new(),
             misses: BTreeMap::new(),
             callers: BTreeMap::new(),
             seeds: rules.seeds.clone(),
-            listed: 0,
-            list: Vec::new(),
+            hosts_version: 0,
+            hosts_list: Vec::new(),
             live: 0,
             rules,
         }
@@ -134,23 +134,25 @@
             Event::Tick => self.tick(now, out),
             Event::Request { call, exchange } => self.requested(call, &exchange, now, out),
             Event::Answered { call, result } => self.answered(call, result, now, out),
-            Event::Listed { call, kind, result } => self.listed(call, kind, result, now, out),
+            Event::Listed { call, kind, result } => {
+                self.platform_answered(call, kind, result, now, out)
+            }
             Event::Polled { target, report, events } => {
-                self.reported(&target, report, events, now, out);
+                self.poll_ended(&target, report, events, now, out);
             }
             Event::Announce(Announcement::Poison { fingerprint, until }) => {
-                self.poisoned(&PoisonMark { fingerprint, until_ms: until.0 }, now, out);
+                self.merge_poison(&PoisonMark { fingerprint, until_ms: until.0 }, now, out);
             }
-            Event::Announce(Announcement::Leaving) => self.depart(now),
+            Event::Announce(Announcement::Leaving) => self.start_leaving(now),
         }
-        if self.regroup {
-            self.regroup(now, out);
+        if self.duties_stale {
+            self.assign_duties(now, out);
         }
     }
 
     /// When the next [`Event::Tick`] is wanted.
     pub fn wake(&self) -> Ms {
-        let peers = self.peers_first.unwrap_or(Ms::MAX);
+        let peers = self.peer_wait_until.unwrap_or(Ms::MAX);
         self.next_round.min(self.platform.wake()).min(self.polls.wake()).min(peers)
     }
 
@@ -166,16 +168,16 @@
 
     /// The configuration in force, with its audit trail.
     pub fn fleet(&self) -> Option<&FleetObject> {
-        self.held.as_ref().map(|h| &h.object)
+        self.active.as_ref().map(|h| &h.object)
     }
 
     /// Generation in force; zero for none.
     pub fn generation(&self) -> Generation {
-        Generation(self.held.as_ref().map_or(0, |h| h.object.generation))
+        Generation(self.active.as_ref().map_or(0, |h| h.object.generation))
     }
 
     /// The last word on whether a target is leaving.
-    pub fn word(&self, target: &str) -> Option<&LeavingTarget> {
+    pub fn leaving_mark(&self, target: &str) -> Option<&LeavingTarget> {
         self.leaving.get(target)
     }
 
@@ -200,10 +202,10 @@
 
     /// Brings the next round forward, for news that shouldn't wait: a quarter of the usual time
     /// at most, and not twice in that time, so that a storm of news stays bounded.
-    pub(crate) fn hurry(&mut self, now: Ms) {
-        let quick = self.rules.gossip_ms.scale(1, 4);
-        let at = now.max(self.next_hurry);
-        self.next_round = self.next_round.min(at + Ms(quick.0 / 4));
+    pub(crate) fn expedite_round(&mut self, now: Ms) {
+        let quarter = self.rules.gossip_ms.scale(1, 4);
+        let at = now.max(self.next_expedited);
+        self.next_round = self.next_round.min(at + Ms(quarter.0 / 4));
     }
 
     /// Takes a configuration from the platform or a peer.
@@ -213,70 +215,72 @@
         version: u64,
         now: Ms,
         out: &mut Vec<Effect>,
-    ) -> Offer {
+    ) -> OfferOutcome {
         let generation = object.generation;
-        let floor = self.rules.keeps(Safeguard::GenerationFloor);
-        let offer = fleet::offer(&mut self.held, object, version, &mut *self.checker, floor);
+        let reject_older = self.rules.is_enabled(Safeguard::GenerationFloor);
+        let offer =
+            fleet::offer(&mut self.active, object, version, &mut *self.checker, reject_older);
         let event = match offer {
-            Offer::Same => return offer,
-            Offer::Taken => None,
-            Offer::Replaced => Some(logs::Event::ConfigReplaced),
-            Offer::Stale => Some(logs::Event::ConfigStale),
-            Offer::Refused => Some(logs::Event::ConfigRefused),
+            OfferOutcome::Same => return offer,
+            OfferOutcome::Taken => None,
+            OfferOutcome::Replaced => Some(logs::Event::ConfigReplaced),
+            OfferOutcome::Stale => Some(logs::Event::ConfigStale),
+            OfferOutcome::Refused => Some(logs::Event::ConfigRefused),
         };
         if let Some(event) = event {
             self.note(event, generation.to_string(), out);
         }
-        if let (Offer::Taken | Offer::Replaced, Some(held)) = (offer, &self.held) {
-            let plan = held.plan.clone();
-            self.loads.plan(&plan, &self.rules.domain);
-            self.members.beat(|me| me.generation = generation);
+        if let (OfferOutcome::Taken | OfferOutcome::Replaced, Some(active)) = (offer, &self.active)
+        {
+            let plan = active.plan.clone();
+            self.loads.set_plan(&plan, &self.rules.domain);
+            self.members.update_self(|me| me.generation = generation);
             let me = self.members.me().host.clone();
             self.rumors.start(Topic::Pulse(me), 4);
-            self.held_at = now;
-            self.regroup = true;
+            self.active_since = now;
+            self.duties_stale = true;
             out.push(Effect::Update(Update::Fleet(plan)));
-            self.hurry(now);
+            self.expedite_round(now);
         }
         offer
     }
 
     /// Takes a word on a leaving target.
-    pub(crate) fn mark(&mut self, mark: &LeavingTarget, now: Ms, out: &mut Vec<Effect>) {
-        let before = self.leaving.leaves(&mark.target);
-        if !self.leaving.merge(mark, self.rules.keeps(Safeguard::LeavingOrder)) {
+    pub(crate) fn merge_leaving(&mut self, mark: &LeavingTarget, now: Ms, out: &mut Vec<Effect>) {
+        let before = self.leaving.is_leaving(&mark.target);
+        if !self.leaving.merge(mark, self.rules.is_enabled(Safeguard::LeavingOrder)) {
             return;
         }
-        let full = sends(self.members.alive().count());
+        let full = send_count(self.members.alive().count());
         self.rumors.start(Topic::Leaving(mark.target.clone()), full);
         if before != mark.leaving {
             let target = mark.target.as_str().into();
             out.push(Effect::Update(Update::Leaving { target, leaving: mark.leaving }));
         }
-        self.hurry(now);
+        self.expedite_round(now);
     }
 
     /// Takes a poison mark.
-    pub(crate) fn poisoned(&mut self, mark: &PoisonMark, now: Ms, out: &mut Vec<Effect>) {
+    pub(crate) fn merge_poison(&mut self, mark: &PoisonMark, now: Ms, out: &mut Vec<Effect>) {
         if !self.poison.merge(mark, now) {
             return;
         }
-        let full = sends(self.members.alive().count());
+        let full = send_count(self.members.alive().count());
         self.rumors.start(Topic::Poison(mark.fingerprint), full);
         let (fingerprint, until) = (mark.fingerprint, Ms(mark.until_ms));
         out.push(Effect::Update(Update::Poisoned { fingerprint, until }));
-        self.hurry(now);
+        self.expedite_round(now);
     }
 
     /// This host is stopping: it says so at once, so that nobody counts on it.
-    fn depart(&mut self, now: Ms) {
+    fn start_leaving(&mut self, now: Ms) {
         if self.members.me().leaving {
             return;
         }
-        self.members.beat(|me| me.leaving = true);
+        self.members.update_self(|me| me.leaving = true);
         let me = self.members.me().host.clone();
-        self.rumors.start(Topic::Pulse(me), sends(self.members.alive().count()));
-        self.regroup = true;
+        self.rumors.start(Topic::Pulse(me), send_count(self.members.alive().count()));
+        self.duties_stale = true;
         self.next_round = now;
     }
 }
--- a/crates/gossip/tests/faults.rs
+++ b/crates/gossip/tests/faults.rs
@@ -6,10 +6,10 @@
 use mesh::{FleetSize, Mesh, fleet_yaml, object, rules};
 use wire::{Exchange, LeavingTarget};
 
-const SIX: FleetSize = FleetSize { hosts: 6, domains: 3, targets: 24, workspaces: 2 };
+const SIX_HOSTS: FleetSize = FleetSize { hosts: 6, domains: 3, targets: 24, workspaces: 2 };
 
 fn fleet(generation: u64, change: &str) -> String {
-    let yaml = fleet_yaml(SIX, generation);
+    let yaml = fleet_yaml(SIX_HOSTS, generation);
     serde_json::to_string(&object(generation, change, yaml, &[])).unwrap()
 }
 
@@ -20,17 +20,17 @@
 }
 
 fn started(change: impl Fn(&mut Rules)) -> Mesh {
-    let rules = (0..SIX.hosts).map(|i| {
-        let mut rules = rules(SIX, i, 1);
+    let rules = (0..SIX_HOSTS.hosts).map(|i| {
+        let mut rules = rules(SIX_HOSTS, i, 1);
         change(&mut rules);
         rules
     });
     let mut mesh = Mesh::new(rules.collect());
-    for target in 0..SIX.targets {
+    for target in 0..SIX_HOSTS.targets {
         mesh.targets.insert(format!("target-{target}"), mesh::Target::default());
     }
     apply(&mut mesh, 1);
-    for host in 0..SIX.hosts {
+    for host in 0..SIX_HOSTS.hosts {
         mesh.start(host);
     }
     mesh.run(Ms::secs(15));
@@ -47,7 +47,7 @@
 /// to it end by their bound on silence. Two failed calls make it suspected, and as no later beat
 /// of it comes, it is taken for dead; when it goes on, its beats show that it lives.
 #[test]
-fn a_frozen_host_is_found_and_comes_back() {
+fn a_paused_host_is_detected_and_rejoins() {
     let mut mesh = started(|_| ());
     mesh.pause(2);
     mesh.run(Ms::secs(12));
@@ -67,21 +67,21 @@
 /// the other is cut; the other still calls here and answers third hosts. To take it for dead
 /// would take work from a host that can do it.
 #[test]
-fn a_way_cut_in_one_direction_is_told_and_kills_nobody() {
+fn a_one_way_cut_is_reported_and_no_host_is_taken_for_dead() {
     let mut mesh = started(|_| ());
     mesh.cut(0, 1);
     mesh.run(Ms::secs(60));
     for host in 0..6 {
         assert_eq!(mesh.state(host).unwrap().view().len(), 6, "host {host}");
     }
-    let told = mesh.learned(0).notes.contains(&(Log::PeerCut, "host-1".into()));
-    assert!(told, "{:?}", mesh.learned(0).notes);
+    let reported = mesh.learned(0).notes.contains(&(Log::PeerCut, "host-1".into()));
+    assert!(reported, "{:?}", mesh.learned(0).notes);
 }
 
 /// Work that needs a host waits in vain: it hears everyone, and nothing that it sends arrives.
 /// Its own calls and its answers are lost, so no later beat of it comes and it is found.
 #[test]
-fn a_host_that_only_hears_is_found() {
+fn a_host_that_can_only_receive_is_detected() {
     let mut mesh = started(|_| ());
     for other in [0, 1, 2, 4, 5] {
         mesh.cut(3, other);
@@ -90,7 +90,7 @@
     for host in [0, 1, 2, 4, 5] {
         assert!(!sees(&mesh, host, 3), "host {host}");
     }
-    mesh.mend();
+    mesh.heal();
     mesh.run(Ms::secs(20));
     for host in 0..6 {
         assert_eq!(mesh.state(host).unwrap().view().len(), 6, "host {host}");
@@ -101,7 +101,7 @@
 /// nothing in memory, the platform answers nothing, and its seeds give it the configuration with
 /// the answer to its first call.
 #[test]
-fn a_host_that_restarts_in_an_outage_serves_from_its_peers() {
+fn a_host_that_restarts_in_an_outage_gets_its_configuration_from_peers() {
     let mut mesh = started(|_| ());
     mesh.platform.faults.down = true;
     mesh.run(Ms::secs(20));
@@ -120,8 +120,8 @@
 /// at its end not all at once. Without the backoff they call as fast as the platform refuses.
 #[test]
 fn calls_in_an_outage_are_few() {
-    let calls = |without| {
-        let mut mesh = started(|rules| rules.without = without);
+    let calls = |disabled| {
+        let mut mesh = started(|rules| rules.disabled = disabled);
         mesh.platform.faults.down = true;
         let before = mesh.platform.calls;
         mesh.run(Ms::secs(60));
@@ -138,10 +138,10 @@
 /// it is blind, and the domain's other host watches in its place.
 #[test]
 fn a_blind_watcher_hands_on() {
-    let in_force = |without| {
+    let in_force = |disabled| {
         let mut mesh = started(|rules| {
             rules.watchers = 1;
-            rules.without = without;
+            rules.disabled = disabled;
         });
         let (a, b) = (1, 4);
         for host in [a, b] {
@@ -153,14 +153,14 @@
         // Whichever of the two watches: the one whose loss of the platform is noticed.
         let mut worst = 2;
         for watcher in [a, b] {
-            mesh.reach_platform(watcher, false);
+            mesh.set_platform_reachable(watcher, false);
             mesh.run(Ms::secs(25));
             let next = mesh.state(a).unwrap().generation().0 + 1;
             apply(&mut mesh, next);
             mesh.run(Ms::secs(30));
             let now = |h: usize| mesh.state(h).unwrap().generation().0;
             worst = worst.min(now(a).min(now(b)) + 2 - next);
-            mesh.reach_platform(watcher, true);
+            mesh.set_platform_reachable(watcher, true);
             mesh.run(Ms::secs(60));
         }
         worst
@@ -193,7 +193,7 @@
 fn a_poison_mark_reaches_all_within_two_rounds() {
     let mut mesh = started(|_| ());
     let at = mesh.now();
-    mesh.tell(3, Announcement::Poison { fingerprint: 9, until: at + Ms::secs(600) });
+    mesh.announce(3, Announcement::Poison { fingerprint: 9, until: at + Ms::secs(600) });
     mesh.run(Ms::secs(2));
     for host in 0..6 {
         assert!(mesh.learned(host).poison.contains_key(&9), "host {host}");
@@ -204,14 +204,14 @@
 #[test]
 fn a_host_that_stops_leaves_the_view() {
     let mut mesh = started(|_| ());
-    mesh.tell(3, Announcement::Leaving);
+    mesh.announce(3, Announcement::Leaving);
     mesh.run(Ms::secs(2));
     for host in 0..6 {
         assert!(!sees(&mesh, host, 3), "host {host}");
     }
     assert_eq!(mesh.learned(0).live, 1);
     let polled: usize = (0..6).map(|h| mesh.state(h).unwrap().polled_targets()).sum();
-    assert_eq!(polled, SIX.targets);
+    assert_eq!(polled, SIX_HOSTS.targets);
 }
 
 /// No host sends a target new work three seconds after an operator marked it, or after it said
@@ -239,27 +239,28 @@
 /// An operator's word stays though the target itself says otherwise: only who said that a target
 /// leaves, or an operator, takes it back.
 #[test]
-fn a_target_cant_take_back_an_operators_word() {
+fn a_target_cannot_revoke_an_operators_mark() {
     let mut mesh = started(|_| ());
     let at = mesh.now().0;
-    let word = |since_ms, leaving| {
+    let mark_json = |since_ms, leaving| {
         let target = "target-5".into();
         let mark = LeavingTarget { target, since_ms, leaving, ..LeavingTarget::default() };
         serde_json::to_string(&mark).unwrap()
     };
-    let version = mesh.put("leaving", "target-5", Version(0), word(at, true)).unwrap();
+    let version = mesh.put("leaving", "target-5", Version(0), mark_json(at, true)).unwrap();
     mesh.run(Ms::secs(10));
-    let leaves = |mesh: &Mesh, h: usize| mesh.state(h).unwrap().word("target-5").unwrap().leaving;
-    assert!((0..6).all(|h| leaves(&mesh, h)));
-    mesh.put("leaving", "target-5", version, word(at + 10_000, false)).unwrap();
+    let is_leaving =
+        |mesh: &Mesh, h: usize| mesh.state(h).unwrap().leaving_mark("target-5").unwrap().leaving;
+    assert!((0..6).all(|h| is_leaving(&mesh, h)));
+    mesh.put("leaving", "target-5", version, mark_json(at + 10_000, false)).unwrap();
     mesh.run(Ms::secs(10));
-    assert!((0..6).all(|h| !leaves(&mesh, h)));
+    assert!((0..6).all(|h| !is_leaving(&mesh, h)));
 }
 
 /// A delta that doesn't fit what a host holds changes nothing there: the host asks for the whole
 /// configuration, and has it with the next answers.
 #[test]
-fn a_delta_that_does_not_fit_is_replaced_by_the_whole() {
+fn a_delta_with_another_base_is_replaced_by_the_full_configuration() {
     let mut mesh = started(|_| ());
     let delta = wire::FleetDelta { from: 1, generation: 7, ..wire::FleetDelta::default() };
     mesh.replay(2, Exchange { delta: Some(delta), ..Exchange::default() });
@@ -274,8 +275,8 @@
 /// before it believes the platform.
 #[test]
 fn a_host_that_restarts_before_a_stale_store_goes_by_its_peers() {
-    let first = |without| {
-        let mut mesh = started(|rules| rules.without = without);
+    let first = |disabled| {
+        let mut mesh = started(|rules| rules.disabled = disabled);
         mesh.platform.freeze(true);
         let object = mesh.platform.get("fleet", "fleet").unwrap().version;
         mesh.put("fleet", "fleet", Version(object), fleet(2, "newer")).unwrap();
--- a/crates/gossip/tests/node.rs
+++ b/crates/gossip/tests/node.rs
@@ -13,16 +13,16 @@
 use tokio::sync::mpsc::UnboundedReceiver;
 use wire::{Claim, Finish, Grant, GrantKind};
 
-const SHAPE: FleetSize = FleetSize { hosts: 3, domains: 1, targets: 1, workspaces: 1 };
+const SIZE: FleetSize = FleetSize { hosts: 3, domains: 1, targets: 1, workspaces: 1 };
 /// Longer than anything here takes; a test that waits this long has failed.
-const LONG: Ms = Ms::secs(30);
+const TEST_TIMEOUT: Ms = Ms::secs(30);
 
 fn local() -> SocketAddr {
     SocketAddr::from((Ipv4Addr::LOCALHOST, 0))
 }
 
 /// An address of a target that nobody listens at.
-fn nowhere() -> SocketAddr {
+fn closed_address() -> SocketAddr {
     SocketAddr::from((Ipv4Addr::LOCALHOST, 9))
 }
 
@@ -32,7 +32,7 @@
 }
 
 async fn apply(platform: &Platform, generation: u64, target: SocketAddr) {
-    let yaml = fleet_yaml(SHAPE, generation).replace("127.0.0.1:20000", &target.to_string());
+    let yaml = fleet_yaml(SIZE, generation).replace("127.0.0.1:20000", &target.to_string());
     let next = object(generation, &format!("change-{generation}"), yaml, &[]);
     let api = api(platform);
     let before = api.get("fleet", "fleet").await.unwrap().map_or(0, |o| o.version);
@@ -62,25 +62,28 @@
     Node::start(NodeConfig { settings, capacity: 0 }, Arc::new(api(platform)), clock).await.unwrap()
 }
 
-async fn until(news: &mut UnboundedReceiver<Update>, found: impl Fn(&Update) -> bool) -> Update {
+async fn wait_for(
+    updates: &mut UnboundedReceiver<Update>,
+    wanted: impl Fn(&Update) -> bool,
+) -> Update {
     let wait = async {
         loop {
-            let next = news.recv().await.expect("the node runs");
-            if found(&next) {
+            let next = updates.recv().await.expect("the node runs");
+            if wanted(&next) {
                 return next;
             }
         }
     };
-    tokio::time::timeout(LONG.duration(), wait).await.expect("the news comes")
+    tokio::time::timeout(TEST_TIMEOUT.duration(), wait).await.expect("the news comes")
 }
 
-async fn in_time(mut done: impl FnMut() -> bool) {
+async fn eventually(mut done: impl FnMut() -> bool) {
     let wait = async {
         while !done() {
             tokio::time::sleep(Ms(10).duration()).await;
         }
     };
-    tokio::time::timeout(LONG.duration(), wait).await.expect("it happens");
+    tokio::time::timeout(TEST_TIMEOUT.duration(), wait).await.expect("it happens");
 }
 
 async fn target() -> Target {
@@ -102,13 +105,13 @@
     let platform = Platform::start(local()).await.unwrap();
     let target = target().await;
     apply(&platform, 1, target.addr()).await;
-    let (a, mut a_news) = node("host-a", &platform, &[]).await;
-    let (b, mut b_news) = node("host-b", &platform, &[a.addr()]).await;
-    for news in [&mut a_news, &mut b_news] {
+    let (a, mut a_updates) = node("host-a", &platform, &[]).await;
+    let (b, mut b_updates) = node("host-b", &platform, &[a.addr()]).await;
+    for updates in [&mut a_updates, &mut b_updates] {
         // In any order.
         let mut seen = [false; 3];
         while seen != [true; 3] {
-            match until(news, |_| true).await {
+            match wait_for(updates, |_| true).await {
                 Update::Fleet(plan) if plan.generation.0 == 1 => seen[0] = true,
                 Update::Hosts { live: 2 } => seen[1] = true,
                 Update::Load { .. } => seen[2] = true,
@@ -116,16 +119,16 @@
             }
         }
     }
-    in_time(|| {
+    eventually(|| {
         a.reader().members().len() == 2 && a.reader().members().iter().all(|m| m.generation == 1)
     })
     .await;
     b.announcements().send(Announcement::Poison { fingerprint: 7, until: Ms(u64::MAX) }).unwrap();
-    until(&mut a_news, |n| matches!(n, Update::Poisoned { fingerprint: 7, .. })).await;
+    wait_for(&mut a_updates, |n| matches!(n, Update::Poisoned { fingerprint: 7, .. })).await;
     assert!(a.reader().counters().sent_bytes > 0 && a.reader().counters().platform_calls > 0);
     // The host that stops says so before it goes.
     b.close().await;
-    in_time(|| a.view().hosts().len() == 1).await;
+    eventually(|| a.view().hosts().len() == 1).await;
     a.close().await;
     target.close().await;
     platform.close().await;
@@ -136,28 +139,28 @@
 #[tokio::test(flavor = "multi_thread", worker_threads = 2)]
 async fn a_node_that_starts_in_an_outage_learns_from_its_peers() {
     let platform = Platform::start(local()).await.unwrap();
-    apply(&platform, 1, nowhere()).await;
-    let (a, mut a_news) = node("host-a", &platform, &[]).await;
-    until(&mut a_news, |n| matches!(n, Update::Fleet(_))).await;
+    apply(&platform, 1, closed_address()).await;
+    let (a, mut a_updates) = node("host-a", &platform, &[]).await;
+    wait_for(&mut a_updates, |n| matches!(n, Update::Fleet(_))).await;
     platform.set_faults(PlatformFaults { silent: true, ..PlatformFaults::default() });
-    let (b, mut b_news) = node("host-b", &platform, &[a.addr()]).await;
-    until(&mut b_news, |n| matches!(n, Update::Fleet(p) if p.generation.0 == 1)).await;
+    let (b, mut b_updates) = node("host-b", &platform, &[a.addr()]).await;
+    wait_for(&mut b_updates, |n| matches!(n, Update::Fleet(p) if p.generation.0 == 1)).await;
     assert_eq!(b.reader().fleet().unwrap().audit.len(), 1);
     // The outage ends, and a change reaches both.
     platform.set_faults(PlatformFaults::default());
-    apply(&platform, 2, nowhere()).await;
-    for news in [&mut a_news, &mut b_news] {
-        until(news, |n| matches!(n, Update::Fleet(p) if p.generation.0 == 2)).await;
+    apply(&platform, 2, closed_address()).await;
+    for updates in [&mut a_updates, &mut b_updates] {
+        wait_for(updates, |n| matches!(n, Update::Fleet(p) if p.generation.0 == 2)).await;
     }
     a.close().await;
     b.close().await;
     platform.close().await;
 }
 
-struct Grants;
+struct GrantAll;
 
 #[async_trait]
-impl Claims for Grants {
+impl Claims for GrantAll {
     async fn claim(&self, _: Claim) -> Grant {
         Grant { kind: GrantKind::Granted.into(), ..Grant::default() }
     }
@@ -168,32 +171,32 @@
 }
 
 #[tokio::test]
-async fn claims_are_passed_on_once_someone_keeps_them() {
+async fn claims_are_forwarded_once_a_handler_is_set() {
     let platform = Platform::start(local()).await.unwrap();
-    let (node, _news) = node("host-a", &platform, &[]).await;
-    let wire = PeerClient::new(Ms::secs(5));
-    let before = wire.claim(node.addr(), Claim::default()).await.unwrap();
+    let (node, _updates) = node("host-a", &platform, &[]).await;
+    let client = PeerClient::new(Ms::secs(5));
+    let before = client.claim(node.addr(), Claim::default()).await.unwrap();
     assert_eq!(before.kind(), GrantKind::Unavailable);
-    assert_eq!(wire.finish(node.addr(), Finish::default()).await, Ok(false));
-    node.serve_claims(Arc::new(Grants));
-    let after = wire.claim(node.addr(), Claim::default()).await.unwrap();
+    assert_eq!(client.finish(node.addr(), Finish::default()).await, Ok(false));
+    node.serve_claims(Arc::new(GrantAll));
+    let after = client.claim(node.addr(), Claim::default()).await.unwrap();
     assert_eq!(after.kind(), GrantKind::Granted);
-    assert_eq!(wire.finish(node.addr(), Finish::default()).await, Ok(true));
+    assert_eq!(client.finish(node.addr(), Finish::default()).await, Ok(true));
     node.close().await;
     platform.close().await;
 }
 
 #[tokio::test]
-async fn a_target_that_says_that_it_leaves_is_believed() {
+async fn a_target_that_reports_leaving_is_marked_as_leaving() {
     let platform = Platform::start(local()).await.unwrap();
     let target = target().await;
     apply(&platform, 1, target.addr()).await;
-    let (node, mut news) = node("host-a", &platform, &[]).await;
-    until(&mut news, |n| matches!(n, Update::Load { .. })).await;
+    let (node, mut updates) = node("host-a", &platform, &[]).await;
+    wait_for(&mut updates, |n| matches!(n, Update::Load { .. })).await;
     target.set_faults(fakes::TargetFaults { leaving: true, ..fakes::TargetFaults::default() });
-    let left = until(&mut news, |n| matches!(n, Update::Leaving { .. })).await;
+    let leaving = wait_for(&mut updates, |n| matches!(n, Update::Leaving { .. })).await;
     assert!(
-        matches!(left, Update::Leaving { leaving: true, target } if target.as_str() == "target-0")
+        matches!(leaving, Update::Leaving { leaving: true, target } if target.as_str() == "target-0")
     );
     node.close().await;
     target.close().await;
--- a/crates/gossip/tests/restart.rs
+++ b/crates/gossip/tests/restart.rs
@@ -5,12 +5,12 @@
 use mesh::{FleetSize, Mesh, rules};
 
 /// Longest time in which the hosts of a fleet may come up, ms.
-const SPREAD: Ms = Ms(300);
+const START_WINDOW: Ms = Ms(300);
 
 /// A fleet whose hosts know the same three of each other at their start.
 fn fleet(hosts: usize, seed: u64) -> Mesh {
-    let shape = FleetSize { hosts, domains: 6, targets: 24, workspaces: 5 };
-    let mut all: Vec<_> = (0..hosts).map(|i| rules(shape, i, seed)).collect();
+    let size = FleetSize { hosts, domains: 6, targets: 24, workspaces: 5 };
+    let mut all: Vec<_> = (0..hosts).map(|i| rules(size, i, seed)).collect();
     let seeds: Vec<_> = all.iter().take(3).map(|r| r.address).collect();
     for rules in &mut all {
         rules.seeds = seeds.iter().copied().filter(|a| *a != rules.address).collect();
@@ -22,21 +22,21 @@
 /// Starts hosts one after the other, all within [`SPREAD`].
 fn start(mesh: &mut Mesh, hosts: impl ExactSizeIterator<Item = usize>) {
     let count = hosts.len() as u64;
-    let begun = mesh.now();
+    let started = mesh.now();
     for (i, host) in hosts.enumerate() {
-        mesh.run_to(begun + SPREAD.scale(i as u64, count));
+        mesh.run_to(started + START_WINDOW.scale(i as u64, count));
         mesh.start(host);
     }
 }
 
 /// Time until 99 percent of the hosts see all of them in their present lives.
-fn agreed(mesh: &mut Mesh, most: Ms) -> Ms {
-    let begun = mesh.now();
-    let lives: Vec<u64> = (0..mesh.len()).map(|i| own_life(mesh, i)).collect();
-    while mesh.now() < begun + most {
-        let whole = (0..mesh.len()).filter(|i| sees(mesh, *i, &lives)).count();
-        if whole * 100 >= mesh.len() * 99 {
-            return mesh.now() - begun;
+fn time_to_agree(mesh: &mut Mesh, most: Ms) -> Ms {
+    let started = mesh.now();
+    let incarnations: Vec<u64> = (0..mesh.len()).map(|i| own_incarnation(mesh, i)).collect();
+    while mesh.now() < started + most {
+        let complete = (0..mesh.len()).filter(|i| sees(mesh, *i, &incarnations)).count();
+        if complete * 100 >= mesh.len() * 99 {
+            return mesh.now() - started;
         }
         mesh.run(Ms(20));
     }
@@ -47,18 +47,19 @@
     format!("host-{i}")
 }
 
-fn own_life(mesh: &Mesh, i: usize) -> u64 {
+fn own_incarnation(mesh: &Mesh, i: usize) -> u64 {
     let mut members = mesh.state(i).unwrap().members();
     members.find(|m| m.host == name(i)).unwrap().incarnation
 }
 
-fn sees(mesh: &Mesh, i: usize, lives: &[u64]) -> bool {
+fn sees(mesh: &Mesh, i: usize, incarnations: &[u64]) -> bool {
     let state = mesh.state(i).unwrap();
     let known = |m: &wire::Member| {
         let i: usize = m.host["host-".len()..].parse().unwrap();
-        lives[i] == m.incarnation && m.status == 0
+        incarnations[i] == m.incarnation && m.status == 0
     };
-    state.view().len() == lives.len() && state.members().filter(|m| known(m)).count() == lives.len()
+    state.view().len() == incarnations.len()
+        && state.members().filter(|m| known(m)).count() == incarnations.len()
 }
 
 // Callers see most stage calls turned away for ten seconds after a power cut. All hosts start at
@@ -71,7 +72,7 @@
         for seed in 0..seeds {
             let mut mesh = fleet(hosts, seed);
             start(&mut mesh, 0..hosts);
-            let took = agreed(&mut mesh, Ms::secs(20));
+            let took = time_to_agree(&mut mesh, Ms::secs(20));
             assert!(took <= Ms::secs(1), "{hosts} hosts, seed {seed}: {took}");
         }
     }
@@ -91,7 +92,7 @@
         }
         mesh.run(Ms::secs(5));
         start(&mut mesh, lost.into_iter());
-        let took = agreed(&mut mesh, Ms::secs(20));
+        let took = time_to_agree(&mut mesh, Ms::secs(20));
         assert!(took <= Ms::secs(2), "{hosts} hosts, seed {seed}: {took}");
     }
 }
--- a/crates/gossip/tests/schedules/found.rs
+++ b/crates/gossip/tests/schedules/found.rs
@@ -5,7 +5,7 @@
 use crate::op::{Op, Step};
 use crate::oracle::play;
 
-fn plays(steps: &[(Op, u64)]) {
+fn assert_passes(steps: &[(Op, u64)]) {
     let steps: Vec<Step> =
         steps.iter().map(|(op, wait)| Step { op: *op, wait: Ms(*wait) }).collect();
     if let Err(why) = play(&steps, None) {
@@ -17,19 +17,19 @@
 /// rumor had died out before the cut ended, and the host that saw the difference asked another
 /// peer, which lacked the same.
 #[test]
-fn a_mark_from_behind_a_cut_is_asked_of_who_has_it() {
-    plays(&[
-        (Op::Mute(false), 0),
+fn a_mark_from_a_cut_off_domain_is_requested_from_a_peer_that_has_it() {
+    assert_passes(&[
+        (Op::Unresponsive(false), 0),
         (Op::Apply, 752),
         (Op::Pause(2), 326),
         (Op::CutPlatform(0), 419),
         (Op::Resume(3), 2041),
-        (Op::Mute(false), 774),
+        (Op::Unresponsive(false), 774),
         (Op::CutDomain(2), 11_166),
         (Op::Poison(0), 2314),
         (Op::Poison(5), 312),
     ]);
-    plays(&[
+    assert_passes(&[
         (Op::Apply, 92),
         (Op::CutDomain(2), 144),
         (Op::Start(0), 65),
@@ -43,6 +43,6 @@
 /// A store that comes back twice with old content accepted one generation twice, and then held
 /// the earlier of the two: hosts stay with the later write.
 #[test]
-fn a_store_that_goes_back_twice_takes_no_host_along() {
-    plays(&[(Op::Apply, 0), (Op::Restore, 0), (Op::Apply, 56), (Op::Restore, 0)]);
+fn a_store_restored_twice_reverts_no_host() {
+    assert_passes(&[(Op::Apply, 0), (Op::Restore, 0), (Op::Apply, 56), (Op::Restore, 0)]);
 }
--- a/crates/gossip/tests/schedules/main.rs
+++ b/crates/gossip/tests/schedules/main.rs
@@ -51,11 +51,11 @@
 }
 
 /// How many schedules it takes until the oracle notices that a safeguard is missing.
-fn noticed(without: Safeguard) -> Option<(u32, String)> {
+fn schedules_until_failure(disabled: Safeguard) -> Option<(u32, String)> {
     let mut runner = runner(1, 1);
     (1..=400).find_map(|n| {
         let steps = steps().new_tree(&mut runner).unwrap().current();
-        play(&steps, Some(without)).err().map(|why| (n, why))
+        play(&steps, Some(disabled)).err().map(|why| (n, why))
     })
 }
 
@@ -63,7 +63,7 @@
     ($($name:ident: $safeguard:ident,)*) => {$(
         #[test]
         fn $name() {
-            let found = noticed(Safeguard::$safeguard);
+            let found = schedules_until_failure(Safeguard::$safeguard);
             println!("{:?}: {found:?}", Safeguard::$safeguard);
             assert!(found.is_some(), "no schedule fails without it");
         }
--- a/crates/gossip/tests/schedules/op.rs
+++ b/crates/gossip/tests/schedules/op.rs
@@ -36,13 +36,13 @@
     /// Both ways between a domain and the others.
     CutDomain(usize),
     CutPlatform(usize),
-    Mend,
+    Heal,
     Down(bool),
     Slow(bool),
     Busy,
-    Mute(bool),
+    Unresponsive(bool),
     /// Watches lose track of what they watch; never mended.
-    Deaf,
+    StuckWatches,
     /// Reads give old content.
     Stale(bool),
     /// The store comes back with the configuration before the last change.
@@ -50,7 +50,7 @@
     /// A host hears an old configuration from a peer that was away.
     Replay(usize),
     /// A host hears an old word on a target.
-    OldWord(usize),
+    OldMark(usize),
 }
 
 fn op() -> impl Strategy<Value = Op> {
@@ -69,16 +69,16 @@
         2 => (host(), host()).prop_map(|(a, b)| Op::Cut(a, b)),
         2 => (0..DOMAINS).prop_map(Op::CutDomain),
         2 => host().prop_map(Op::CutPlatform),
-        2 => Just(Op::Mend),
+        2 => Just(Op::Heal),
         2 => any::<bool>().prop_map(Op::Down),
         1 => any::<bool>().prop_map(Op::Slow),
         1 => Just(Op::Busy),
-        1 => any::<bool>().prop_map(Op::Mute),
-        1 => Just(Op::Deaf),
+        1 => any::<bool>().prop_map(Op::Unresponsive),
+        1 => Just(Op::StuckWatches),
         2 => any::<bool>().prop_map(Op::Stale),
         1 => Just(Op::Restore),
         2 => host().prop_map(Op::Replay),
-        1 => host().prop_map(Op::OldWord),
+        1 => host().prop_map(Op::OldMark),
     ]
 }
 
--- a/crates/gossip/tests/schedules/oracle.rs
+++ b/crates/gossip/tests/schedules/oracle.rs
@@ -17,12 +17,12 @@
 
 /// Time in which a whole network must have settled: the longest wait after a failed call, a
 /// re-list, and the time to suspect a host and hear of it again.
-pub const WHOLE: Ms = Ms::secs(75);
+pub const SETTLE_MS: Ms = Ms::secs(75);
 
-const SHAPE: FleetSize = FleetSize { hosts: HOSTS, domains: DOMAINS, targets: 12, workspaces: 2 };
+const SIZE: FleetSize = FleetSize { hosts: HOSTS, domains: DOMAINS, targets: 12, workspaces: 2 };
 /// The target that operators mark, the one that speaks for itself, the one in the list.
 const MARKED: &str = "target-0";
-const SPEAKS: &str = "target-1";
+const SELF_REPORTED: &str = "target-1";
 const LISTED: &str = "target-2";
 
 pub struct Run {
@@ -34,14 +34,14 @@
     marked: bool,
     listed: bool,
     poison: Vec<(u64, usize)>,
-    old_word: LeavingTarget,
+    old_mark: LeavingTarget,
     /// When the word on each target was given that each host holds.
-    words: BTreeMap<(usize, &'static str), u64>,
+    marks: BTreeMap<(usize, &'static str), u64>,
 }
 
 /// Plays a schedule; `Err` says what didn't hold.
-pub fn play(steps: &[Step], without: Option<Safeguard>) -> Result<(), String> {
-    let mut run = Run::new(without);
+pub fn play(steps: &[Step], disabled: Option<Safeguard>) -> Result<(), String> {
+    let mut run = Run::new(disabled);
     run.apply();
     for host in 0..HOSTS {
         run.mesh.start(host);
@@ -50,16 +50,16 @@
     for step in steps {
         run.act(step.op);
         run.mesh.run(step.wait);
-        run.always()?;
+        run.check_invariants()?;
     }
     run.settle()
 }
 
 impl Run {
-    fn new(without: Option<Safeguard>) -> Self {
-        let rules = (0..HOSTS).map(|i| Rules { watchers: 1, without, ..rules(SHAPE, i, 7) });
+    fn new(disabled: Option<Safeguard>) -> Self {
+        let rules = (0..HOSTS).map(|i| Rules { watchers: 1, disabled, ..rules(SIZE, i, 7) });
         let mut mesh = Mesh::new(rules.collect());
-        for target in 0..SHAPE.targets {
+        for target in 0..SIZE.targets {
             mesh.targets.insert(format!("target-{target}"), mesh::Target::default());
         }
         Self {
@@ -70,8 +70,8 @@
             marked: false,
             listed: false,
             poison: Vec::new(),
-            old_word: LeavingTarget::default(),
-            words: BTreeMap::new(),
+            old_mark: LeavingTarget::default(),
+            marks: BTreeMap::new(),
         }
     }
 
@@ -90,7 +90,7 @@
             None => (0, FleetObject::default()),
         };
         let generation = before.generation + 1;
-        let yaml = fleet_yaml(SHAPE, self.changes);
+        let yaml = fleet_yaml(SIZE, self.changes);
         let next = object(generation, &change, yaml, &before.audit);
         let body = serde_json::to_string(&next).unwrap();
         let written = self.mesh.put("fleet", "fleet", Version(expected), body).is_ok();
@@ -125,9 +125,9 @@
                     ..LeavingTarget::default()
                 };
                 self.put("leaving", MARKED, serde_json::to_string(&mark).unwrap());
-                self.old_word = LeavingTarget { leaving: !leaving, since_ms: now.0 - 1, ..mark };
+                self.old_mark = LeavingTarget { leaving: !leaving, since_ms: now.0 - 1, ..mark };
             }
-            Op::Own(leaving) => self.mesh.targets.get_mut(SPEAKS).unwrap().leaving = leaving,
+            Op::Own(leaving) => self.mesh.targets.get_mut(SELF_REPORTED).unwrap().leaving = leaving,
             Op::Listed(leaving) => {
                 self.listed = leaving;
                 let entry = HostEntry { name: LISTED.into(), leaving, ..HostEntry::default() };
@@ -137,7 +137,7 @@
             Op::Poison(host) if self.mesh.runs(host) => {
                 let fingerprint = now.0;
                 let until = now + Ms::secs(3600);
-                self.mesh.tell(host, Announcement::Poison { fingerprint, until });
+                self.mesh.announce(host, Announcement::Poison { fingerprint, until });
                 self.poison.push((fingerprint, host));
             }
             Op::Kill(host) => self.kill(host),
@@ -156,15 +156,15 @@
                     }
                 }
             }
-            Op::CutPlatform(host) => self.mesh.reach_platform(host, false),
-            Op::Mend => self.mesh.mend(),
+            Op::CutPlatform(host) => self.mesh.set_platform_reachable(host, false),
+            Op::Heal => self.mesh.heal(),
             Op::Down(down) => self.mesh.platform.faults.down = down,
             Op::Slow(slow) => {
                 self.mesh.platform.faults.slow = if slow { Ms(2_500) } else { Ms::ZERO };
             }
             Op::Busy => self.mesh.platform.faults.busy = true,
-            Op::Mute(mute) => self.mesh.platform.faults.mute = mute,
-            Op::Deaf => self.mesh.platform.faults.deaf = true,
+            Op::Unresponsive(unresponsive) => self.mesh.platform.faults.unresponsive = unresponsive,
+            Op::StuckWatches => self.mesh.platform.faults.stuck_watches = true,
             Op::Stale(stale) => self.mesh.platform.freeze(stale),
             Op::Restore => {
                 if let [.., before, _] = self.objects.as_slice() {
@@ -180,19 +180,19 @@
                 };
                 self.mesh.replay(host, exchange);
             }
-            Op::OldWord(host) if self.old_word.since_ms > 0 => {
-                let leaving = vec![self.old_word.clone()];
+            Op::OldMark(host) if self.old_mark.since_ms > 0 => {
+                let leaving = vec![self.old_mark.clone()];
                 self.mesh.replay(host, Exchange { leaving, ..Exchange::default() });
             }
-            Op::Poison(_) | Op::OldWord(_) => {}
+            Op::Poison(_) | Op::OldMark(_) => {}
         }
     }
 
     /// What a host alone knew goes with it.
     fn kill(&mut self, host: usize) {
         self.mesh.kill(host);
-        self.poison.retain(|(_, teller)| *teller != host);
-        self.words.retain(|(holder, _), _| *holder != host);
+        self.poison.retain(|(_, origin)| *origin != host);
+        self.marks.retain(|(holder, _), _| *holder != host);
     }
 
     fn put(&mut self, kind: &str, name: &str, body: String) {
@@ -200,7 +200,7 @@
         self.mesh.put(kind, name, Version(version), body).unwrap();
     }
 
-    fn always(&mut self) -> Result<(), String> {
+    fn check_invariants(&mut self) -> Result<(), String> {
         for host in 0..HOSTS {
             let seen = &self.mesh.learned(host).generations;
             for pair in seen.windows(2) {
@@ -209,9 +209,9 @@
                 }
             }
             let Some(state) = self.mesh.state(host) else { continue };
-            for target in [MARKED, SPEAKS, LISTED] {
-                let since = state.word(target).map_or(0, |w| w.since_ms);
-                if self.words.insert((host, target), since) > Some(since) {
+            for target in [MARKED, SELF_REPORTED, LISTED] {
+                let since = state.leaving_mark(target).map_or(0, |w| w.since_ms);
+                if self.marks.insert((host, target), since) > Some(since) {
                     return Err(format!("host {host} went back to an older word on {target}"));
                 }
             }
@@ -235,10 +235,10 @@
     }
 
     fn settle(&mut self) -> Result<(), String> {
-        let deaf = self.mesh.platform.faults.deaf;
-        self.mesh.mend();
+        let stuck_watches = self.mesh.platform.faults.stuck_watches;
+        self.mesh.heal();
         self.mesh.platform.freeze(false);
-        self.mesh.platform.faults = mesh::Faults { deaf, ..mesh::Faults::default() };
+        self.mesh.platform.faults = mesh::Faults { stuck_watches, ..mesh::Faults::default() };
         for host in 0..HOSTS {
             self.mesh.resume(host);
             if !self.mesh.runs(host) {
@@ -247,11 +247,11 @@
             }
         }
         let most = (0..HOSTS).map(|h| self.order(self.held(h))).max().unwrap_or_default();
-        let end = self.mesh.now() + WHOLE;
+        let end = self.mesh.now() + SETTLE_MS;
         loop {
             self.mesh.run(Ms::secs(1));
-            self.always()?;
-            match self.settled(most) {
+            self.check_invariants()?;
+            match self.check_settled(most) {
                 Err(left) if self.mesh.now() >= end => return Err(left),
                 Err(_) => {}
                 Ok(()) => return Ok(()),
@@ -259,7 +259,7 @@
         }
     }
 
-    fn settled(&self, most: (u64, u64)) -> Result<(), String> {
+    fn check_settled(&self, most: (u64, u64)) -> Result<(), String> {
         let first = self.held(0);
         let platform = self.current().map(|(_, f)| (f.generation, f.change)).unwrap();
         if self.order(first.clone()) < most.max(self.order(platform.clone())) {
@@ -275,17 +275,20 @@
                 let names: Vec<_> = view.iter().map(|v| v.host.to_string()).collect();
                 return Err(format!("host {host} sees only {names:?}"));
             }
-            let speaks = self.mesh.targets[SPEAKS].leaving;
-            let words = [(MARKED, self.marked), (SPEAKS, speaks), (LISTED, self.listed)];
-            for (target, leaving) in words {
-                let news = self.mesh.learned(host).leaving.get(target).is_some_and(|w| w.1);
-                if state.word(target).is_some_and(|w| w.leaving) != leaving || news != leaving {
+            let self_reported = self.mesh.targets[SELF_REPORTED].leaving;
+            let marks =
+                [(MARKED, self.marked), (SELF_REPORTED, self_reported), (LISTED, self.listed)];
+            for (target, leaving) in marks {
+                let reported = self.mesh.learned(host).leaving.get(target).is_some_and(|w| w.1);
+                if state.leaving_mark(target).is_some_and(|w| w.leaving) != leaving
+                    || reported != leaving
+                {
                     return Err(format!("host {host} takes {target} as leaving: {}", !leaving));
                 }
             }
-            for (fingerprint, teller) in &self.poison {
+            for (fingerprint, origin) in &self.poison {
                 if !self.mesh.learned(host).poison.contains_key(fingerprint) {
-                    return Err(format!("host {host} missed the mark of host {teller}"));
+                    return Err(format!("host {host} missed the mark of host {origin}"));
                 }
             }
             if self.mesh.learned(host).live as usize != HOSTS / DOMAINS {
@@ -293,7 +296,7 @@
             }
         }
         let polled: usize = (0..HOSTS).map(|h| self.mesh.state(h).unwrap().polled_targets()).sum();
-        match polled == SHAPE.targets {
+        match polled == SIZE.targets {
             true => Ok(()),
             false => Err(format!("{polled} targets polled")),
         }
--- a/crates/gossip/tests/spread.rs
+++ b/crates/gossip/tests/spread.rs
@@ -4,27 +4,27 @@
 use base::{Ms, Version};
 use mesh::{FleetSize, Mesh, fleet_yaml, object, rules};
 
-fn shape(hosts: usize) -> FleetSize {
+fn size(hosts: usize) -> FleetSize {
     FleetSize { hosts, domains: if hosts > 20 { 8 } else { 3 }, targets: 24, workspaces: 5 }
 }
 
-fn apply(mesh: &mut Mesh, shape: FleetSize, generation: u64) {
+fn apply(mesh: &mut Mesh, size: FleetSize, generation: u64) {
     let expected = mesh.platform.get("fleet", "fleet").map_or(0, |o| o.version);
     let object =
-        object(generation, &format!("change-{generation}"), fleet_yaml(shape, generation), &[]);
+        object(generation, &format!("change-{generation}"), fleet_yaml(size, generation), &[]);
     let body = serde_json::to_string(&object).unwrap();
     mesh.put("fleet", "fleet", Version(expected), body).unwrap();
 }
 
 fn started(hosts: usize) -> (Mesh, FleetSize) {
-    let shape = shape(hosts);
-    let mut mesh = Mesh::new((0..hosts).map(|i| rules(shape, i, 1)).collect());
-    apply(&mut mesh, shape, 1);
+    let size = size(hosts);
+    let mut mesh = Mesh::new((0..hosts).map(|i| rules(size, i, 1)).collect());
+    apply(&mut mesh, size, 1);
     for i in 0..hosts {
         mesh.start(i);
     }
     mesh.run(Ms::secs(20));
-    (mesh, shape)
+    (mesh, size)
 }
 
 fn last_in_force(mesh: &Mesh, generation: u64) -> Option<Ms> {
@@ -50,9 +50,9 @@
 
 #[test]
 fn a_change_is_in_force_on_six_hosts_within_two_seconds() {
-    let (mut mesh, shape) = started(6);
+    let (mut mesh, size) = started(6);
     let at = mesh.now();
-    apply(&mut mesh, shape, 2);
+    apply(&mut mesh, size, 2);
     mesh.run(Ms::secs(10));
     let took = last_in_force(&mesh, 2).expect("in force everywhere") - at;
     assert!(took < Ms::secs(2), "{took}");
--- a/crates/mesh/src/calls.rs
+++ b/crates/mesh/src/calls.rs
@@ -5,17 +5,17 @@
 use store::StoreError;
 use wire::{CacheEvents, LoadReport, ObjectList};
 
-use crate::mesh::{Item, Mesh, PLATFORM_MS};
+use crate::mesh::{Mesh, PLATFORM_LATENCY_MS, Scheduled};
 use crate::platform::Waiter;
 
 impl Mesh {
     pub(crate) fn platform_call(&mut self, waiter: Waiter, wait: Option<Ms>) {
         self.platform.calls += 1;
         let faults = self.platform.faults.clone();
-        let reaches = self.hosts[waiter.host].platform;
+        let reachable = self.hosts[waiter.host].platform_reachable;
         match wait {
-            _ if faults.mute => {}
-            _ if faults.down || !reaches => self.read(waiter, Err(StoreError::Down)),
+            _ if faults.unresponsive => {}
+            _ if faults.down || !reachable => self.read(waiter, Err(StoreError::Down)),
             _ if faults.busy => {
                 self.read(waiter, Err(StoreError::Busy { retry_after: Ms::secs(1) }));
             }
@@ -25,7 +25,7 @@
             }
             Some(wait) => {
                 self.platform.waiters.push(waiter);
-                self.later(self.now + wait, Item::WatchEnd { waiter });
+                self.schedule(self.now + wait, Scheduled::WatchEnd { waiter });
                 for (waiter, list) in self.platform.ready() {
                     self.read(waiter, Ok(list));
                 }
@@ -35,13 +35,13 @@
 
     pub(crate) fn read(&mut self, waiter: Waiter, result: Result<ObjectList, StoreError>) {
         let Waiter { host, run, call, kind, .. } = waiter;
-        if result.is_ok() && !self.hosts[host].platform {
+        if result.is_ok() && !self.hosts[host].platform_reachable {
             // The way was cut while the watch waited: its answer goes nowhere.
             return;
         }
         let event = Event::Listed { call, kind, result };
-        let at = self.now + PLATFORM_MS + self.platform.faults.slow;
-        self.later(at, Item::Event { host, run, event });
+        let at = self.now + PLATFORM_LATENCY_MS + self.platform.faults.slow;
+        self.schedule(at, Scheduled::Event { host, run, event });
     }
 
     pub(crate) fn poll(&mut self, target: &TargetId) -> Event {
--- a/crates/mesh/src/fleet.rs
+++ b/crates/mesh/src/fleet.rs
@@ -20,11 +20,11 @@
 }
 
 /// Bounds and identity of host `i`, with the settings' defaults.
-pub fn rules(shape: FleetSize, i: usize, seed: u64) -> Rules {
+pub fn rules(size: FleetSize, i: usize, seed: u64) -> Rules {
     let address = |i: usize| {
         SocketAddr::from((Ipv4Addr::new(10, 0, (i / 250) as u8, (i % 250) as u8 + 1), 7000))
     };
-    let domain = i % shape.domains;
+    let domain = i % size.domains;
     let any = SocketAddr::from((IpAddr::from(Ipv4Addr::LOCALHOST), 1));
     let yaml = format!(
         "host: host-{i}\ndomain: domain-{domain}\nregion: region-{}\nlisten: {any}\nadmin: {any}\n\
@@ -34,18 +34,18 @@
     );
     let settings = conf::Settings::parse(&yaml).unwrap_or_else(|e| panic!("the settings: {e}"));
     let mut rules = Rules::new(&settings, address(i));
-    let near = [1, 2, 3].map(|d| (i + d) % shape.hosts);
+    let near = [1, 2, 3].map(|d| (i + d) % size.hosts);
     rules.seeds = near.into_iter().filter(|j| *j != i).map(address).collect();
     rules.seeds.dedup();
     rules
 }
 
 /// A configuration of that size; `mark` tells changes apart.
-pub fn fleet_yaml(shape: FleetSize, mark: u64) -> String {
+pub fn fleet_yaml(size: FleetSize, mark: u64) -> String {
     let mut out = format!("deployment: mesh-{mark}\ncost_weight: 0.5\nregions:\n");
-    for region in 0..2.min(shape.domains) {
+    for region in 0..2.min(size.domains) {
         let _ = writeln!(out, "  - name: region-{region}\n    domains:");
-        for domain in (0..shape.domains).filter(|d| d % 2 == region) {
+        for domain in (0..size.domains).filter(|d| d % 2 == region) {
             let _ = writeln!(out, "      - name: domain-{domain}");
         }
     }
@@ -54,12 +54,12 @@
         let _ = writeln!(out, "  - name: model-{model}");
     }
     out.push_str("pools:\n");
-    let pools = 4.min(shape.targets);
+    let pools = 4.min(size.targets);
     for pool in 0..pools {
         let kind = if pool == 0 { "engine" } else { "service" };
         let _ = writeln!(out, "  - name: pool-{pool}\n    kind: {kind}\n    targets:");
-        for target in (0..shape.targets).filter(|t| t % pools == pool) {
-            let domain = (target / pools) % shape.domains;
+        for target in (0..size.targets).filter(|t| t % pools == pool) {
+            let domain = (target / pools) % size.domains;
             let port = 20_000 + target;
             let _ = write!(
                 out,
@@ -72,7 +72,7 @@
         }
     }
     out.push_str("workspaces:\n");
-    for workspace in 0..shape.workspaces {
+    for workspace in 0..size.workspaces {
         let _ = writeln!(out, "  - name: workspace-{workspace}\n    weight: 1.0");
     }
     out.push_str("pipelines:\n  - name: answer\n    stages:\n");
--- a/crates/mesh/src/host.rs
+++ b/crates/mesh/src/host.rs
@@ -38,8 +38,8 @@
 }
 
 impl Learned {
-    pub(crate) fn take(&mut self, now: Ms, news: Update) {
-        match news {
+    pub(crate) fn record(&mut self, now: Ms, update: Update) {
+        match update {
             Update::Fleet(plan) => {
                 let generation = plan.generation.0;
                 self.generations.push((now, generation, plan.fleet.deployment.clone()));
@@ -80,10 +80,10 @@
     /// Counts its starts; what was on the way to an earlier one is lost.
     pub(crate) run: u64,
     /// While paused: what came meanwhile.
-    pub(crate) held: Option<Vec<Event>>,
+    pub(crate) deferred: Option<Vec<Event>>,
     /// The tick that is planned.
     pub(crate) tick: Ms,
-    pub(crate) platform: bool,
+    pub(crate) platform_reachable: bool,
     pub(crate) learned: Learned,
     pub(crate) traffic: Traffic,
 }
--- a/crates/mesh/src/mesh.rs
+++ b/crates/mesh/src/mesh.rs
@@ -15,15 +15,15 @@
 use crate::platform::{Platform, Waiter};
 
 /// Silence after which a call to another host has failed, ms.
-const PEER_MS: Ms = Ms(500);
+const PEER_TIMEOUT_MS: Ms = Ms(500);
 /// One way within a failure domain, between them, and between regions, ms.
-const NEAR_MS: Ms = Ms(1);
-const FAR_MS: Ms = Ms(2);
-const REGION_MS: Ms = Ms(30);
+const SAME_DOMAIN_MS: Ms = Ms(1);
+const SAME_REGION_MS: Ms = Ms(2);
+const CROSS_REGION_MS: Ms = Ms(30);
 /// One way to the platform or a target, ms.
-pub(crate) const PLATFORM_MS: Ms = Ms(3);
+pub(crate) const PLATFORM_LATENCY_MS: Ms = Ms(3);
 
-pub(crate) enum Item {
+pub(crate) enum Scheduled {
     Tick { host: usize, run: u64 },
     Event { host: usize, run: u64, event: Event },
     Request { from: usize, run: u64, to: SocketAddr, call: CallId, exchange: Box<Exchange> },
@@ -34,9 +34,9 @@
 type Plans = Arc<Mutex<HashMap<(u64, String), Option<Arc<Plan>>>>>;
 
 /// Parses each configuration once for all hosts.
-struct Shared(Plans);
+struct SharedParser(Plans);
 
-impl Checker for Shared {
+impl Checker for SharedParser {
     fn check(&mut self, object: &FleetObject) -> Option<Arc<Plan>> {
         let mut plans = self.0.lock().unwrap_or_else(PoisonError::into_inner);
         let key = (object.generation, object.change.clone());
@@ -57,24 +57,24 @@
     pub own_plans: bool,
     pub(crate) now: Ms,
     pub(crate) hosts: Vec<Slot>,
-    at: HashMap<SocketAddr, usize>,
+    host_by_address: HashMap<SocketAddr, usize>,
     cuts: HashSet<(usize, usize)>,
-    queue: BTreeMap<(Ms, u64), Item>,
-    count: u64,
+    queue: BTreeMap<(Ms, u64), Scheduled>,
+    scheduled: u64,
     plans: Plans,
 }
 
 impl Mesh {
     /// Hosts that aren't started yet.
     pub fn new(rules: Vec<Rules>) -> Self {
-        let at = rules.iter().enumerate().map(|(i, r)| (r.address, i)).collect();
+        let host_by_address = rules.iter().enumerate().map(|(i, r)| (r.address, i)).collect();
         let slot = |rules| Slot {
             rules,
             state: None,
             run: 0,
-            held: None,
+            deferred: None,
             tick: Ms::MAX,
-            platform: true,
+            platform_reachable: true,
             learned: Learned::default(),
             traffic: Traffic::default(),
         };
@@ -85,10 +85,10 @@
             own_plans: false,
             now: Ms::secs(1_000_000),
             hosts: rules.into_iter().map(slot).collect(),
-            at,
+            host_by_address,
             cuts: HashSet::new(),
             queue: BTreeMap::new(),
-            count: 0,
+            scheduled: 0,
             plans: Plans::default(),
         }
     }
@@ -117,12 +117,12 @@
     pub fn start_behind(&mut self, host: usize, behind: Ms) {
         let checker: Box<dyn Checker> = match self.own_plans {
             true => Box::new(Parser),
-            false => Box::new(Shared(self.plans.clone())),
+            false => Box::new(SharedParser(self.plans.clone())),
         };
         let now = self.now - behind;
         let slot = &mut self.hosts[host];
         slot.run += 1;
-        slot.held = None;
+        slot.deferred = None;
         slot.learned = Learned::default();
         slot.state = Some(State::new(slot.rules.clone(), checker, now));
         slot.tick = Ms::MAX;
@@ -132,17 +132,17 @@
     /// Ends a host without warning.
     pub fn kill(&mut self, host: usize) {
         self.hosts[host].state = None;
-        self.hosts[host].held = None;
+        self.hosts[host].deferred = None;
     }
 
     /// Stops a host in its place; what comes meanwhile waits.
     pub fn pause(&mut self, host: usize) {
-        self.hosts[host].held.get_or_insert_default();
+        self.hosts[host].deferred.get_or_insert_default();
     }
 
     /// Lets it go on.
     pub fn resume(&mut self, host: usize) {
-        for event in self.hosts[host].held.take().unwrap_or_default() {
+        for event in self.hosts[host].deferred.take().unwrap_or_default() {
             self.feed(host, event);
         }
         self.feed(host, Event::Tick);
@@ -154,21 +154,21 @@
     }
 
     /// Mends all cuts, also those to the platform.
-    pub fn mend(&mut self) {
+    pub fn heal(&mut self) {
         self.cuts.clear();
         for slot in &mut self.hosts {
-            slot.platform = true;
+            slot.platform_reachable = true;
         }
     }
 
     /// Whether a host reaches the platform.
-    pub fn reach_platform(&mut self, host: usize, reaches: bool) {
-        self.hosts[host].platform = reaches;
+    pub fn set_platform_reachable(&mut self, host: usize, reachable: bool) {
+        self.hosts[host].platform_reachable = reachable;
     }
 
     /// Whether a host runs and isn't paused.
     pub fn runs(&self, host: usize) -> bool {
-        self.hosts[host].state.is_some() && self.hosts[host].held.is_none()
+        self.hosts[host].state.is_some() && self.hosts[host].deferred.is_none()
     }
 
     /// A host's reducer, if it is alive.
@@ -187,8 +187,8 @@
     }
 
     /// Has a host tell the others something.
-    pub fn tell(&mut self, host: usize, tell: Announcement) {
-        self.feed(host, Event::Announce(tell));
+    pub fn announce(&mut self, host: usize, announcement: Announcement) {
+        self.feed(host, Event::Announce(announcement));
     }
 
     /// Writes an object, as an operator does.
@@ -220,7 +220,7 @@
             }
             let item = entry.remove();
             self.now = self.now.max(at);
-            self.item(item);
+            self.process(item);
         }
         self.now = self.now.max(end);
     }
@@ -230,32 +230,32 @@
         self.run_to(self.now + span);
     }
 
-    pub(crate) fn later(&mut self, at: Ms, item: Item) {
-        self.count += 1;
-        self.queue.insert((at, self.count), item);
+    pub(crate) fn schedule(&mut self, at: Ms, item: Scheduled) {
+        self.scheduled += 1;
+        self.queue.insert((at, self.scheduled), item);
     }
 
-    fn item(&mut self, item: Item) {
+    fn process(&mut self, item: Scheduled) {
         match item {
-            Item::Tick { host, run } => {
+            Scheduled::Tick { host, run } => {
                 if self.hosts[host].run == run && self.hosts[host].tick <= self.now {
                     self.hosts[host].tick = Ms::MAX;
                     self.feed(host, Event::Tick);
                 }
             }
-            Item::Event { host, run, event } => {
+            Scheduled::Event { host, run, event } => {
                 if self.hosts[host].run == run {
                     self.feed(host, event);
                 }
             }
-            Item::Request { from, run, to, call, exchange } => {
+            Scheduled::Request { from, run, to, call, exchange } => {
                 self.request(from, run, to, call, exchange);
             }
-            Item::Read { waiter, wait } => self.platform_call(waiter, wait),
-            Item::WatchEnd { waiter } => {
-                let waits =
+            Scheduled::Read { waiter, wait } => self.platform_call(waiter, wait),
+            Scheduled::WatchEnd { waiter } => {
+                let is_same_watch =
                     |w: &Waiter| (w.host, w.run, w.call) == (waiter.host, waiter.run, waiter.call);
-                if let Some(i) = self.platform.waiters.iter().position(waits) {
+                if let Some(i) = self.platform.waiters.iter().position(is_same_watch) {
                     self.platform.waiters.swap_remove(i);
                     let list = ObjectList { version: waiter.after.0, objects: Vec::new() };
                     self.read(waiter, Ok(list));
@@ -267,8 +267,8 @@
     fn feed(&mut self, host: usize, event: Event) {
         let slot = &mut self.hosts[host];
         let Some(state) = &mut slot.state else { return };
-        if let Some(held) = &mut slot.held {
-            held.push(event);
+        if let Some(deferred) = &mut slot.deferred {
+            deferred.push(event);
             return;
         }
         let mut effects = Vec::new();
@@ -286,7 +286,7 @@
             self.effect(host, run, effect);
         }
         if sooner {
-            self.later(wake, Item::Tick { host, run });
+            self.schedule(wake, Scheduled::Tick { host, run });
         }
     }
 
@@ -294,29 +294,35 @@
         let now = self.now;
         match effect {
             Effect::Exchange { call, to, exchange } => {
-                self.spend(host, &exchange, peer::call_bytes);
+                self.record_sent(host, &exchange, peer::call_bytes);
                 let failed = Event::Answered { call, result: Err(PeerError::Silent) };
-                self.later(now + PEER_MS, Item::Event { host, run, event: failed });
-                let there = self.at.get(&to).copied();
-                if there.is_some_and(|b| self.cuts.contains(&(host, b))) {
+                self.schedule(now + PEER_TIMEOUT_MS, Scheduled::Event { host, run, event: failed });
+                let dest = self.host_by_address.get(&to).copied();
+                if dest.is_some_and(|b| self.cuts.contains(&(host, b))) {
                     return;
                 }
-                let way = there.map_or(NEAR_MS, |b| self.way(host, b));
-                self.later(now + way, Item::Request { from: host, run, to, call, exchange });
+                let latency = dest.map_or(SAME_DOMAIN_MS, |b| self.latency(host, b));
+                self.schedule(
+                    now + latency,
+                    Scheduled::Request { from: host, run, to, call, exchange },
+                );
             }
             Effect::List { call, kind } => {
                 let waiter = Waiter { host, run, call, kind, after: Version(0) };
-                self.later(now + PLATFORM_MS, Item::Read { waiter, wait: None });
+                self.schedule(now + PLATFORM_LATENCY_MS, Scheduled::Read { waiter, wait: None });
             }
             Effect::Watch { call, kind, after, wait } => {
                 let waiter = Waiter { host, run, call, kind, after };
-                self.later(now + PLATFORM_MS, Item::Read { waiter, wait: Some(wait) });
+                self.schedule(
+                    now + PLATFORM_LATENCY_MS,
+                    Scheduled::Read { waiter, wait: Some(wait) },
+                );
             }
             Effect::Poll { target, .. } => {
                 let event = self.poll(&target);
-                self.later(now + PLATFORM_MS, Item::Event { host, run, event });
+                self.schedule(now + PLATFORM_LATENCY_MS, Scheduled::Event { host, run, event });
             }
-            Effect::Update(news) => self.hosts[host].learned.take(now, news),
+            Effect::Update(update) => self.hosts[host].learned.record(now, update),
             Effect::Note { event, subject } => {
                 self.hosts[host].learned.notes.push((event, subject));
             }
@@ -325,17 +331,22 @@
         }
     }
 
-    fn way(&self, a: usize, b: usize) -> Ms {
+    fn latency(&self, a: usize, b: usize) -> Ms {
         let (a, b) = (&self.hosts[a].rules.domain, &self.hosts[b].rules.domain);
         let region = |d: &str| d.bytes().last().unwrap_or_default() % 2;
         match () {
-            () if a == b => NEAR_MS,
-            () if region(a.as_str()) == region(b.as_str()) => FAR_MS,
-            () => REGION_MS,
+            () if a == b => SAME_DOMAIN_MS,
+            () if region(a.as_str()) == region(b.as_str()) => SAME_REGION_MS,
+            () => CROSS_REGION_MS,
         }
     }
 
-    fn spend(&mut self, host: usize, exchange: &Exchange, size: fn(&Exchange) -> usize) -> u64 {
+    fn record_sent(
+        &mut self,
+        host: usize,
+        exchange: &Exchange,
+        size: fn(&Exchange) -> usize,
+    ) -> u64 {
         if !self.measure {
             return 0;
         }
@@ -358,19 +369,23 @@
         exchange: Box<Exchange>,
     ) {
         let now = self.now;
-        let refuse = Event::Answered { call, result: Err(PeerError::Unreachable) };
-        let there = self.at.get(&to).copied().filter(|b| self.hosts[*b].state.is_some());
-        let Some(there) = there else {
-            return self.later(now + NEAR_MS, Item::Event { host: from, run, event: refuse });
+        let refused = Event::Answered { call, result: Err(PeerError::Unreachable) };
+        let dest =
+            self.host_by_address.get(&to).copied().filter(|b| self.hosts[*b].state.is_some());
+        let Some(dest) = dest else {
+            return self.schedule(
+                now + SAME_DOMAIN_MS,
+                Scheduled::Event { host: from, run, event: refused },
+            );
         };
         if self.measure {
             let bytes = peer::call_bytes(&exchange) as u64;
-            self.hosts[there].traffic.heard += bytes;
+            self.hosts[dest].traffic.heard += bytes;
         }
         let event = Event::Request { call, exchange };
-        let slot = &mut self.hosts[there];
-        if let Some(held) = &mut slot.held {
-            held.push(event);
+        let slot = &mut self.hosts[dest];
+        if let Some(deferred) = &mut slot.deferred {
+            deferred.push(event);
             return;
         }
         let Some(state) = &mut slot.state else { return };
@@ -380,27 +395,27 @@
         if let Some(started) = started {
             slot.traffic.busy += started.elapsed();
         }
-        let there_run = slot.run;
+        let dest_run = slot.run;
         for effect in effects {
             match effect {
                 Effect::Reply { exchange, .. } => {
-                    let bytes = self.spend(there, &exchange, peer::answer_bytes);
-                    if !self.cuts.contains(&(there, from)) {
+                    let bytes = self.record_sent(dest, &exchange, peer::answer_bytes);
+                    if !self.cuts.contains(&(dest, from)) {
                         self.hosts[from].traffic.heard += bytes;
                         let event = Event::Answered { call, result: Ok(exchange) };
-                        let at = now + self.way(there, from);
-                        self.later(at, Item::Event { host: from, run, event });
+                        let at = now + self.latency(dest, from);
+                        self.schedule(at, Scheduled::Event { host: from, run, event });
                     }
                 }
-                effect => self.effect(there, there_run, effect),
+                effect => self.effect(dest, dest_run, effect),
             }
         }
         // It may want to be woken sooner now.
-        let slot = &mut self.hosts[there];
+        let slot = &mut self.hosts[dest];
         let wake = slot.state.as_ref().map_or(Ms::MAX, State::wake).max(now + Ms(1));
         if wake < slot.tick {
             slot.tick = wake;
-            self.later(wake, Item::Tick { host: there, run: there_run });
+            self.schedule(wake, Scheduled::Tick { host: dest, run: dest_run });
         }
     }
 }
--- a/crates/mesh/src/platform.rs
+++ b/crates/mesh/src/platform.rs
@@ -16,9 +16,9 @@
     /// Asks to come back later.
     pub busy: bool,
     /// Watches wait out their time though something changed: they have lost track of it.
-    pub deaf: bool,
+    pub stuck_watches: bool,
     /// Calls are never answered, not even with an error.
-    pub mute: bool,
+    pub unresponsive: bool,
 }
 
 /// A watch that waits.
@@ -92,7 +92,7 @@
 
     /// Watches that have something to tell now.
     pub(crate) fn ready(&mut self) -> Vec<(Waiter, ObjectList)> {
-        if self.faults.deaf {
+        if self.faults.stuck_watches {
             return Vec::new();
         }
         let waiters = std::mem::take(&mut self.waiters);
