--- a/crates/gossip/src/caches.rs
+++ b/crates/gossip/src/caches.rs
@@ -1,19 +1,20 @@
-//! Cache events of this domain's engines, on their way to the domain's hosts.
+//! Cache events of this domain's engines, forwarded between the domain's hosts.
 //!
-//! Engines see thousands of events a second and a host may hear a few kilobytes: only the newest
-//! are passed on, and what is dropped costs a cached prefix that isn't found, never an answer.
+//! Engines produce thousands of events a second, while a host may receive only a few kilobytes, so
+//! only the newest events are forwarded. A dropped event costs at most a cache hit, never an
+//! answer.
 
 use std::collections::{HashMap, VecDeque};
 use wire::CacheNote;
 
-/// Most notes that are kept.
+/// Most notes that are stored.
 const MAX_NOTES: usize = 512;
-/// Hosts that pass a note on, one after the other. Engines that restart count from the start
-/// again, so a note's count can't tell old from new; without this bound two hosts could go on
-/// giving each other the same notes for ever.
+/// Most hosts that forward a note, one after the other. An engine that restarts counts its events
+/// from the start again, so the count doesn't tell an old note from a new one; without this limit
+/// two hosts could send each other the same notes for ever.
 pub(crate) const MAX_HOPS: u32 = 6;
 
-/// The newest events, by target and count.
+/// The newest events, by target and sequence number.
 #[derive(Debug, Default)]
 pub(crate) struct Caches {
     notes: HashMap<(u32, u64), CacheNote>,
@@ -21,7 +22,7 @@
 }
 
 impl Caches {
-    /// Takes a note. True when it is new.
+    /// Stores a note. Returns true if it is new.
     pub(crate) fn merge(&mut self, note: &CacheNote) -> bool {
         let key = (note.target, note.seq);
         if self.notes.get(&key).is_some_and(|known| known.prefix == note.prefix) {
--- a/crates/gossip/src/duties.rs
+++ b/crates/gossip/src/duties.rs
@@ -1,4 +1,5 @@
-//! Who does what, worked out anew whenever who is alive changes.
+//! Assigns duties among the live hosts: who watches the platform, who polls which target, and the
+//! order of calls to peers. Runs again whenever the set of live hosts changes.
 
 use base::{DomainId, HostId, Ms, Version};
 use rand::seq::SliceRandom;
@@ -12,7 +13,8 @@
 use crate::update::Update;
 
 impl State {
-    /// Who is alive changed: who watches, who polls, and whom to call are worked out anew.
+    /// Reassigns duties after a change of membership: who watches the platform, who polls which
+    /// targets, and which peers to call.
     pub(crate) fn assign_duties(&mut self, now: Ms, out: &mut Vec<Effect>) {
         self.duties_stale = false;
         let domain = self.rules.domain.as_str();
@@ -29,7 +31,8 @@
         own.sort();
         let me = self.rules.host.clone();
         let watching = own.iter().take(self.rules.watchers).any(|(.., host)| *host == me);
-        // A host that is stopping and is the last of its domain still needs the news.
+        // A host that is stopping as the last one of its domain still watches, as it needs the
+        // updates.
         self.platform.watch(watching || own.is_empty(), now);
         let hosts: Vec<HostId> = own.into_iter().map(|(.., host)| host).collect();
         if let Some(active) = &self.active {
@@ -44,7 +47,8 @@
         out.push(Effect::View);
     }
 
-    /// Keeps the order of calls, drops hosts that went and puts new ones in at random places.
+    /// Updates the order of calls: keeps the order of known peers, drops hosts that are gone and
+    /// inserts new ones in random order.
     fn update_call_order(&mut self) {
         let me = self.rules.host.as_str();
         let domain = self.rules.domain.as_str();
@@ -62,7 +66,7 @@
         &self.rules.domain
     }
 
-    /// Whether the host that aggregates this domain's loads is this one.
+    /// Whether this host is the one that sums up the domain's loads.
     pub(crate) fn is_aggregator(&self) -> bool {
         let domain = self.rules.domain.as_str();
         let own: Vec<&Member> = self.members.serving().filter(|m| m.domain == domain).collect();
@@ -70,7 +74,8 @@
         first.is_some_and(|m| m.host == self.rules.host.as_str())
     }
 
-    /// Version of the platform's list that a mark goes by.
+    /// Newest version of the platform's list of hosts and targets that was read; marks from the
+    /// list carry it.
     pub(crate) fn list_version(&self) -> Version {
         Version(self.hosts_version)
     }
@@ -82,7 +87,7 @@
     let mut fresh: Vec<String> = wanted.iter().filter(|h| !known.contains(h)).cloned().collect();
     let mut kept: VecDeque<String> = order.iter().filter(|h| keep.contains(h)).cloned().collect();
     fresh.shuffle(rng);
-    // New hosts are called first: what they lack is most.
+    // New hosts are called first, as they lack the most.
     for host in fresh {
         kept.push_front(host);
     }
--- a/crates/gossip/src/event.rs
+++ b/crates/gossip/src/event.rs
@@ -1,4 +1,4 @@
-//! What a node's reducer is told, and what it asks for.
+//! Events that a node's reducer takes, and the effects that it returns.
 
 use base::{Ms, TargetId, Version};
 use peer::PeerError;
@@ -8,7 +8,7 @@
 
 use crate::{Announcement, Update};
 
-/// Kinds of the platform's objects that a node reads.
+/// Kinds of platform objects that a node reads.
 #[derive(Clone, Copy, Debug, PartialEq, Eq, PartialOrd, Ord, Hash)]
 pub enum Kind {
     /// The configuration.
@@ -20,10 +20,10 @@
 }
 
 impl Kind {
-    /// All of them.
+    /// All kinds.
     pub const ALL: [Self; 3] = [Self::Fleet, Self::Leaving, Self::Hosts];
 
-    /// Its name in the object API.
+    /// The kind's name in the object API.
     pub const fn name(self) -> &'static str {
         match self {
             Self::Fleet => crate::FLEET_KIND,
@@ -33,106 +33,106 @@
     }
 }
 
-/// A call that a node made or was asked; the answer carries the same number.
+/// Identifies a call that a node made or received; the answer carries the same number.
 #[derive(Clone, Copy, Debug, PartialEq, Eq, PartialOrd, Ord, Hash)]
 pub struct CallId(pub u64);
 
-/// Something that happened.
+/// An event for the reducer.
 #[derive(Clone, Debug)]
 pub enum Event {
-    /// Time has passed. Comes at each [`crate::State::wake`].
+    /// Time has passed. Sent at each [`crate::State::wake`].
     Tick,
-    /// A peer offers an exchange; it gets [`Effect::Reply`] with the same number.
+    /// A peer starts an exchange; it is answered by [`Effect::Reply`] with the same number.
     Request {
-        /// Chosen by whoever carries the events.
+        /// Chosen by the caller of the reducer.
         call: CallId,
-        /// What the peer says.
+        /// The message from the peer.
         exchange: Box<Exchange>,
     },
-    /// An exchange of this host's ended.
+    /// An exchange that this host started has ended.
     Answered {
         /// The number of its [`Effect::Exchange`].
         call: CallId,
-        /// What the peer says.
+        /// The answer from the peer, or the error.
         result: Result<Box<Exchange>, PeerError>,
     },
-    /// A read or watch of the platform ended.
+    /// A read or watch of the platform has ended.
     Listed {
         /// The number of its [`Effect::List`] or [`Effect::Watch`].
         call: CallId,
-        /// What was read.
+        /// The kind that was read.
         kind: Kind,
-        /// The objects, or why not.
+        /// The objects, or the error.
         result: Result<ObjectList, StoreError>,
     },
-    /// A poll of a target ended.
+    /// A poll of a target has ended.
     Polled {
-        /// Which target.
+        /// The target.
         target: TargetId,
         /// Its load, if it answered.
         report: Option<LoadReport>,
         /// Its cache events, if it is an engine and answered.
         events: Option<CacheEvents>,
     },
-    /// The host has something to tell.
+    /// The host announces something to the others.
     Announce(Announcement),
 }
 
-/// Something to do.
+/// An action that the reducer asks for.
 #[derive(Clone, Debug)]
 pub enum Effect {
     /// Call a peer.
     Exchange {
-        /// For the answer.
+        /// Number that the answer carries.
         call: CallId,
-        /// Where.
+        /// The address of the peer.
         to: SocketAddr,
-        /// What to say.
+        /// The message to send.
         exchange: Box<Exchange>,
     },
     /// Answer a peer.
     Reply {
         /// The number of its [`Event::Request`].
         call: CallId,
-        /// What to say.
+        /// The message to send.
         exchange: Box<Exchange>,
     },
     /// Read all objects of a kind.
     List {
-        /// For the answer.
+        /// Number that the answer carries.
         call: CallId,
-        /// Which.
+        /// The kind of objects.
         kind: Kind,
     },
     /// Wait for newer objects of a kind.
     Watch {
-        /// For the answer.
+        /// Number that the answer carries.
         call: CallId,
-        /// Which.
+        /// The kind of objects.
         kind: Kind,
-        /// Newer than this.
+        /// The version that they must be newer than.
         after: Version,
-        /// At most this long, ms.
+        /// Longest wait, ms.
         wait: Ms,
     },
     /// Read a target's load.
     Poll {
-        /// Which target.
+        /// The target.
         target: TargetId,
-        /// Where.
+        /// Its address.
         address: SocketAddr,
-        /// Of an engine: the first cache event that is wanted.
+        /// For an engine, the first cache event that is wanted.
         since: Option<u64>,
     },
-    /// Announcement the host.
+    /// Report an update to the host.
     Update(Update),
-    /// The live hosts, or what is known of them, changed.
+    /// The live hosts, or what is known of them, have changed.
     View,
     /// Write a numbered log event.
     Note {
-        /// Which.
+        /// The event.
         event: logs::Event,
-        /// The host, target or generation that it is about.
+        /// The host, target or generation concerned.
         subject: String,
     },
 }
--- a/crates/gossip/src/exchange.rs
+++ b/crates/gossip/src/exchange.rs
@@ -1,4 +1,4 @@
-//! What an exchange says, and what this host takes from one.
+//! Builds the messages of exchanges and merges those that arrive.
 
 use base::{Ms, TargetId};
 use wire::{CacheNote, Digest, Exchange, Member};
@@ -12,20 +12,21 @@
 use crate::state::State;
 use crate::update::Update;
 
-/// Most of each kind in one message. They set a host's traffic: see docs/fleet.md.
+/// Most entries of each kind in one message. They determine a host's traffic; see docs/fleet.md.
 const MAX_PULSES: usize = 24;
 const MAX_MEMBERS: usize = 24;
 const MAX_MARKS: usize = 8;
 const MAX_LOADS: usize = 24;
 const MAX_POOLS: usize = 8;
 const MAX_CACHES: usize = 8;
-/// Most members of one message that are asked for as behind.
+/// Most hosts with an older configuration that one message asks about.
 pub(crate) const MAX_BEHIND: usize = 8;
-/// Times that a load or a cache event is passed on: missed ones are replaced by the next.
+/// Number of times that a load or a cache event is sent. Few are enough, as a missed one is
+/// replaced by the next.
 const HINT_SENDS: u32 = 4;
 
 impl State {
-    /// This host's digest.
+    /// Builds this host's digest.
     pub(crate) fn digest(&mut self) -> Digest {
         let hashes = self.members.hashes();
         let me = self.members.me();
@@ -48,7 +49,7 @@
         }
     }
 
-    /// A message to a peer of `domain`; empty when that isn't known.
+    /// Builds a message to a peer of `domain`, which is empty if it isn't known.
     pub(crate) fn message(&mut self, domain: &str, now: Ms) -> Exchange {
         let same_domain = domain == self.rules.domain.as_str();
         let mut out = Exchange { digest: Some(self.digest()), ..Exchange::default() };
@@ -80,7 +81,7 @@
         out
     }
 
-    /// What only hosts of the same domain need, and sums of other domains for them.
+    /// Adds what only hosts of this domain need, and the sums of other domains' pools.
     fn add_domain_hints(&mut self, out: &mut Exchange, now: Ms) {
         for topic in self.rumors.take(MAX_LOADS, |t| matches!(t, Topic::Load(_))) {
             let Topic::Load(id) = topic else { continue };
@@ -98,7 +99,7 @@
         }
     }
 
-    /// Adds what the sender of `theirs` lacks by its hashes, as far as it asked.
+    /// Adds what the sender of `theirs` asked for and lacks according to its hashes.
     pub(crate) fn add_missing(&mut self, out: &mut Exchange, theirs: &Exchange) {
         let Some(digest) = &theirs.digest else { return };
         if !theirs.buckets.is_empty() {
@@ -117,8 +118,8 @@
         self.add_config(out, digest);
     }
 
-    /// Adds the configuration, if the peer's is behind: what changed if it holds the one before,
-    /// all of it otherwise. True when it was added.
+    /// Adds the configuration if the peer's is older: as a delta if the peer has the previous one,
+    /// otherwise in full. Returns true if it was added.
     pub(crate) fn add_config(&mut self, out: &mut Exchange, theirs: &Digest) -> bool {
         let Some(active) = &self.active else { return false };
         let behind = theirs.generation < active.object.generation
@@ -137,7 +138,7 @@
         true
     }
 
-    /// Takes what a peer says.
+    /// Merges a message from a peer.
     pub(crate) fn merge_exchange(&mut self, received: &Exchange, now: Ms, out: &mut Vec<Effect>) {
         if let Some(digest) = &received.digest {
             self.merge_claim(&sender_claim(digest), now, out);
@@ -169,7 +170,7 @@
             (None, Some(delta)) => {
                 let object = fleet::apply(self.active.as_ref(), delta);
                 let current = self.active.as_ref().map_or(0, |h| h.object.generation);
-                // It doesn't fit what is held here: ask for all of it.
+                // The delta has another base than the active configuration: ask for the full one.
                 self.wants_full_config |= object.is_none() && delta.generation > current;
                 object
             }
@@ -206,7 +207,7 @@
         }
     }
 
-    /// A target's load as this host polled it.
+    /// Handles the load of a target that this host polled.
     pub(crate) fn load_polled(
         &mut self,
         target: &TargetId,
@@ -216,7 +217,8 @@
         out: &mut Vec<Effect>,
     ) {
         let id = target_id(target.as_str());
-        // More targets than a message holds are told less often, or the last would never be.
+        // With more targets than fit in one message, each load is sent less often. Otherwise the
+        // last ones would never be sent.
         let rounds = self.loads.targets().div_ceil(MAX_LOADS) as u64;
         let min_interval = Ms(self.rules.gossip_ms.0 * rounds);
         if self.loads.record_polled(id, running, queued, now, min_interval) {
@@ -237,7 +239,7 @@
         }
     }
 
-    /// Takes one claim about a host and passes on what is new.
+    /// Merges one claim about a host and forwards what is new.
     pub(crate) fn merge_claim(&mut self, claim: &Member, now: Ms, out: &mut Vec<Effect>) {
         let full = send_count(self.members.alive().count());
         let host = || claim.host.clone();
@@ -285,7 +287,7 @@
     }
 }
 
-/// What a digest says of its sender.
+/// The claim that a digest makes about its sender.
 fn sender_claim(digest: &Digest) -> Member {
     Member {
         host: digest.host.clone(),
--- a/crates/gossip/src/fleet.rs
+++ b/crates/gossip/src/fleet.rs
@@ -1,21 +1,21 @@
-//! The configuration that this host holds, and how it changes.
+//! The configuration that this host uses, and how it is replaced.
 //!
-//! Offers come from the platform and from peers, in any order, some of them old. They are
-//! ordered by generation, then by the object's version, then by change id: every host that has
-//! seen the same offers holds the same one, and none goes back.
+//! Configurations are offered by the platform and by peers, in any order, and some are old. They
+//! are ordered by generation, then by the object's version, then by change id. So all hosts that
+//! have seen the same offers use the same configuration, and no host goes back to an older one.
 
 use base::{Generation, hash_parts};
 use conf::{Fleet, Plan};
 use std::sync::Arc;
 use wire::{FleetDelta, FleetObject};
 
-/// Makes a plan of a configuration object; `None` when it can't work.
+/// Builds a plan from a configuration object; `None` if the configuration is invalid.
 pub trait Checker: Send {
-    /// Parses and checks it.
+    /// Parses and validates the object.
     fn check(&mut self, object: &FleetObject) -> Option<Arc<Plan>>;
 }
 
-/// Parses and checks with crate `conf`.
+/// Parses and validates with crate `conf`.
 #[derive(Debug, Default)]
 pub struct Parser;
 
@@ -26,29 +26,29 @@
     }
 }
 
-/// A configuration in force.
+/// The configuration in force.
 #[derive(Clone, Debug)]
 pub(crate) struct ActiveConfig {
     pub(crate) object: FleetObject,
     pub(crate) version: u64,
     pub(crate) plan: Arc<Plan>,
-    /// From the one before, for peers that still hold that.
+    /// The difference from the previous configuration, for peers that still use that one.
     pub(crate) delta: Option<FleetDelta>,
 }
 
-/// What came of an offer.
+/// The outcome of an offer.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 pub(crate) enum OfferOutcome {
-    /// It is in force now.
+    /// Accepted; now in force.
     Taken,
-    /// In force now in place of another of the same generation: two writers' change ids, of
-    /// which the platform can only have kept one.
+    /// Accepted in place of another configuration of the same generation. The two have different
+    /// change ids, by different writers, and the platform can have kept only one of them.
     Replaced,
-    /// The same as the one in force.
+    /// The same configuration is already in force.
     Same,
-    /// Older than the one in force.
+    /// Older than the configuration in force.
     Stale,
-    /// It can't work.
+    /// Invalid configuration.
     Refused,
 }
 
@@ -56,7 +56,7 @@
     (object.generation, version, &object.change)
 }
 
-/// Tells configurations apart; zero for none.
+/// Hash that identifies a configuration; zero for none.
 pub(crate) fn fleet_hash(active: Option<&ActiveConfig>) -> u64 {
     active.map_or(0, |h| hash_of(&h.object))
 }
@@ -65,7 +65,8 @@
     hash_parts(&[&object.generation.to_le_bytes(), object.change.as_bytes()])
 }
 
-/// Takes an offer if it is newer than what is held. With `floor` off, anything else is taken too.
+/// Accepts an offer if it is newer than the active configuration. With `reject_older` off, it also
+/// accepts older ones.
 pub(crate) fn offer(
     active: &mut Option<ActiveConfig>,
     object: FleetObject,
@@ -108,7 +109,7 @@
         tail -= 1;
     }
     let (old_audit, new_audit) = (&old.object.audit, &new.audit);
-    // Records are added at the end and leave at the start.
+    // Audit records are appended at the end and removed at the start.
     let drop = (0..=old_audit.len())
         .find(|i| new_audit.starts_with(&old_audit[*i..]))
         .unwrap_or(old_audit.len());
@@ -127,7 +128,7 @@
     }
 }
 
-/// The largest cut not above `at` that splits no character of either text.
+/// The largest offset not above `at` that is a character boundary in both texts.
 fn floor_char_boundary(a: &str, b: &str, mut at: usize) -> usize {
     while !(a.is_char_boundary(at) && b.is_char_boundary(at)) {
         at -= 1;
@@ -135,7 +136,7 @@
     at
 }
 
-/// The object that a delta leads to from what is held; `None` when it doesn't fit.
+/// Applies a delta to the active configuration; `None` if the delta has another base.
 pub(crate) fn apply(active: Option<&ActiveConfig>, delta: &FleetDelta) -> Option<FleetObject> {
     let active = active?;
     let old = &active.object;
--- a/crates/gossip/src/leaving.rs
+++ b/crates/gossip/src/leaving.rs
@@ -1,16 +1,17 @@
-//! Targets that are leaving, whoever said so first.
+//! Marks of targets that are leaving, from all sources.
 //!
-//! Of two words on one target the one with the higher `since_ms` wins on every host, so all end
-//! with the same. A word is only taken back by the source that gave it, or by an operator.
+//! Of two marks of one target, every host keeps the one with the higher `since_ms`, so all hosts
+//! converge on the same mark. A mark can be revoked only by the source that set it, or by an
+//! operator.
 
 use base::{Ms, hash_parts};
 use std::collections::BTreeMap;
 use wire::{LeavingSource, LeavingTarget};
 
-/// Most targets that are kept; the fleet has 600.
+/// Most marks that are stored; the fleet has 600 targets.
 const MAX_MARKS: usize = 4096;
 
-/// The marks.
+/// The newest mark of each target.
 #[derive(Debug, Default)]
 pub(crate) struct Leaving {
     marks: BTreeMap<String, LeavingTarget>,
@@ -22,7 +23,8 @@
 }
 
 impl Leaving {
-    /// Takes a mark. True when it is newer than what was known.
+    /// Stores a mark. Returns true if it changes what was known. With `newest_wins` off, older
+    /// marks replace newer ones as well.
     pub(crate) fn merge(&mut self, mark: &LeavingTarget, newest_wins: bool) -> bool {
         match self.marks.get(&mark.target) {
             Some(known) if known == mark => return false,
@@ -42,7 +44,7 @@
         self.marks.get(target)
     }
 
-    /// Whether the target is leaving.
+    /// Whether the target is marked as leaving.
     pub(crate) fn is_leaving(&self, target: &str) -> bool {
         self.get(target).is_some_and(|m| m.leaving)
     }
@@ -56,7 +58,7 @@
         self.hash
     }
 
-    /// What the target's own word adds: a mark to spread, if any.
+    /// The new mark that follows from the target's own report, if any.
     pub(crate) fn own_mark(&self, target: &str, leaving: bool, now: Ms) -> Option<LeavingTarget> {
         let known = self.get(target);
         let revocable = known.is_some_and(|m| m.leaving && m.source() == LeavingSource::Own);
@@ -68,8 +70,9 @@
         Some(self.new_mark(target, leaving, LeavingSource::Own, 0, now))
     }
 
-    /// What an entry of the platform's list at `version` adds. An entry that is no longer leaving
-    /// takes back what an earlier version of the list said, and nothing else.
+    /// The new mark that follows from an entry of the platform's list at `version`, if any. An
+    /// entry that is no longer leaving revokes only a mark that came from an earlier version of the
+    /// list.
     pub(crate) fn listed_mark(
         &self,
         target: &str,
@@ -97,7 +100,7 @@
         version: u64,
         now: Ms,
     ) -> LeavingTarget {
-        // Another host's clock may be ahead; the new word must still win.
+        // The known mark may come from a host whose clock is ahead; the new mark must still win.
         let since = self.get(target).map_or(0, |m| m.since_ms + 1).max(now.0);
         LeavingTarget {
             target: target.to_owned(),
--- a/crates/gossip/src/lib.rs
+++ b/crates/gossip/src/lib.rs
@@ -1,8 +1,9 @@
-//! What a host learns from the platform and from other hosts, and tells them.
+//! Gossip between hosts: what a host learns from the platform and from other hosts, and what it
+//! passes on to them.
 //!
-//! A [`Node`] gives [`Update`] in order on a channel: the configuration in force, live hosts,
-//! leaving targets, loads and poison marks. It only carries out what the reducer [`State`]
-//! decides; tests play the same reducer in virtual time.
+//! A [`Node`] sends [`Update`]s in order on a channel: the configuration in force, live hosts,
+//! leaving targets, loads and poison marks. All decisions are made by the reducer [`State`], and
+//! the node only carries them out, so tests can run the same reducer in virtual time.
 
 mod caches;
 mod duties;
--- a/crates/gossip/src/loads.rs
+++ b/crates/gossip/src/loads.rs
@@ -1,24 +1,24 @@
-//! Load of this domain's targets, and of the other domains' pools as sums.
+//! Loads of this domain's targets, and summed loads of the other domains' pools.
 //!
-//! Each host hears of every target of its own domain and only of sums elsewhere, so what it holds
-//! and hears grows with its domain, not with the fleet. A load is worth telling when it changed by
-//! an eighth or more, and for each target at most once in as many rounds as messages are needed for
-//! all of the domain's; a host that hears nothing for a while
-//! goes by its own answers.
+//! A host receives the load of each target in its own domain but only sums per pool from other
+//! domains, so its memory and traffic grow with its domain and not with the fleet. A load is sent
+//! when it has changed by an eighth or more. For each target this happens at most once in as many
+//! rounds as it takes to send the loads of all the domain's targets. A host that receives no loads
+//! for a while relies on the answers it gets itself.
 
 use base::{DomainId, Ms, PoolId, TargetId, hash_parts};
 use conf::Plan;
 use std::collections::{BTreeMap, HashMap};
 use wire::Load;
 
-/// A load older than this is neither used nor passed on, ms.
+/// A load older than this is neither used nor forwarded, ms.
 const STALE_MS: Ms = Ms::secs(10);
-/// An unchanged load is told again after this, ms.
+/// An unchanged load is sent again after this time, ms.
 const REPEAT_MS: Ms = Ms::secs(5);
-/// A change smaller than one part in this many isn't told.
+/// A change smaller than the last sent load divided by this isn't sent.
 const MIN_CHANGE_DIVISOR: u32 = 8;
 
-/// Hash by which messages name a target.
+/// Hash that names a target in messages.
 pub(crate) fn target_id(target: &str) -> u32 {
     hash_parts(&[b"target", target.as_bytes()]) as u32
 }
@@ -33,13 +33,13 @@
     queued: u32,
     slots: u32,
     measured_at: Ms,
-    /// What was told last, and when.
+    /// Running and queued requests as last sent, and when that was.
     last_sent: (u32, u32),
     last_sent_at: Ms,
 }
 
 impl LoadRecord {
-    /// Whether it is worth telling; if so it counts as told.
+    /// Whether the load is to be sent now; if so, it is recorded as sent.
     fn take_if_due(&mut self, now: Ms, round: Ms) -> bool {
         let change =
             self.running.abs_diff(self.last_sent.0) + self.queued.abs_diff(self.last_sent.1);
@@ -69,7 +69,8 @@
     slots: u32,
 }
 
-/// The loads.
+/// Loads of local targets and of all pools. Local means in this host's failure domain, remote in
+/// another.
 #[derive(Debug, Default)]
 pub(crate) struct Loads {
     local: HashMap<u32, LocalTarget>,
@@ -79,7 +80,7 @@
 }
 
 impl Loads {
-    /// Goes by another configuration.
+    /// Switches to another configuration.
     pub(crate) fn set_plan(&mut self, plan: &Plan, domain: &DomainId) {
         let own = plan.targets.iter().filter(|t| t.domain == *domain);
         self.local = own
@@ -102,22 +103,23 @@
         self.pools.retain(|id, _| self.remote.contains_key(id) || local.contains(id));
     }
 
-    /// Targets of this domain.
+    /// Number of targets in this domain.
     pub(crate) fn targets(&self) -> usize {
         self.local.len()
     }
 
-    /// The target of this domain that a message names.
+    /// The target of this domain that a message names by its hash.
     pub(crate) fn target(&self, id: u32) -> Option<&TargetId> {
         self.local.get(&id).map(|n| &n.target)
     }
 
-    /// The pool of another domain that a message names.
+    /// The pool of another domain that a message names by its hash.
     pub(crate) fn pool(&self, id: u32) -> Option<&(DomainId, PoolId)> {
         self.remote.get(&id)
     }
 
-    /// Takes what this host polled. True when it is worth telling, at most once in `round`.
+    /// Records a load that this host polled. Returns true if it is to be sent, which happens at
+    /// most once in `round` unless the resend interval has passed.
     pub(crate) fn record_polled(
         &mut self,
         id: u32,
@@ -131,20 +133,22 @@
         record.take_if_due(now, round)
     }
 
-    /// Takes a target's load from a peer. Gives when it was true, if that is news.
+    /// Merges a target's load from a peer. Returns the time of measurement if it is newer than the
+    /// known load.
     pub(crate) fn merge_target(&mut self, load: &Load, now: Ms) -> Option<Ms> {
         let record = self.local.contains_key(&load.id).then(|| self.targets.entry(load.id))?;
         merge_newer(record.or_default(), load, now)
     }
 
-    /// Takes a pool's load from a peer. Gives when it was true, if that is news.
+    /// Merges a pool's load from a peer. Returns the time of measurement if it is newer than the
+    /// known load.
     pub(crate) fn merge_pool(&mut self, load: &Load, now: Ms) -> Option<Ms> {
         let record = self.remote.contains_key(&load.id).then(|| self.pools.entry(load.id))?;
         merge_newer(record.or_default(), load, now)
     }
 
-    /// Sums this domain's loads by pool; gives the pools that are worth telling. `leaving`
-    /// targets take nothing new, so their room isn't counted.
+    /// Sums this domain's loads by pool and returns the pools that are to be sent. The slots of
+    /// targets that are `leaving` aren't counted, as these take no new requests.
     pub(crate) fn sum_pools(
         &mut self,
         domain: &DomainId,
@@ -175,19 +179,20 @@
         changed
     }
 
-    /// A target's load as a message has it.
+    /// A target's load in the form that messages carry.
     pub(crate) fn load(&self, id: u32, now: Ms) -> Option<Load> {
         self.targets.get(&id)?.load(id, now)
     }
 
-    /// A pool's load as a message has it.
+    /// A pool's load in the form that messages carry.
     pub(crate) fn pool_load(&self, id: u32, now: Ms) -> Option<Load> {
         self.pools.get(&id)?.load(id, now)
     }
 }
 
-/// Ages add up by the time on the way, so two reports of one target can change places when they
-/// are closer than that; a hint that is off by one poll does no harm.
+/// The age in a message doesn't include its transit time, at each hop, so two reports of one target
+/// can be taken in the wrong order when they are closer together than that. This is harmless: the
+/// load is a hint, and it is then wrong by one poll.
 fn merge_newer(record: &mut LoadRecord, load: &Load, now: Ms) -> Option<Ms> {
     let at = now - Ms(load.age_ms.into());
     let is_newer = at > record.measured_at && now - at < STALE_MS;
--- a/crates/gossip/src/members.rs
+++ b/crates/gossip/src/members.rs
@@ -1,8 +1,8 @@
-//! Who is in the fleet, as this host has heard.
+//! The membership table of the fleet, as this host knows it.
 //!
-//! What is said of a host is ordered by its incarnation and its own count of beats, so old word
-//! never overrides new. Only the host itself counts its beats: a rumor of its death carries the
-//! beat it was last heard at, and any later beat refutes it.
+//! Claims about a host are ordered by its incarnation and its heartbeat counter, so an old claim
+//! never overrides a new one. Only the host itself increments its heartbeat. A claim that it is
+//! dead carries the last heartbeat that was seen, and any later heartbeat refutes it.
 
 use base::{Ms, hash_parts};
 use peer::ViewHost;
@@ -11,35 +11,39 @@
 use std::sync::Arc;
 use wire::{HostStatus, Member, Pulse};
 
-/// Parts of the table that are compared by hash, so that one change costs one part.
+/// Number of buckets whose hashes are compared, so that a single change costs the transfer of one
+/// bucket.
 pub(crate) const BUCKETS: usize = 32;
-/// Time after which a dead host is forgotten, ms. Longer than regions lose each other for: the
-/// dead are called now and then, and so the two sides of a cut find each other again.
+/// Time after which a dead host is forgotten, ms. It is longer than regions stay partitioned: dead
+/// hosts are still called now and then, which is how the two sides of a partition find each other
+/// again.
 const FORGET_MS: Ms = Ms::secs(1800);
 
-/// What a claim changed.
+/// The effect of a claim.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 pub(crate) enum Change {
-    /// Nothing, or only the count of beats.
+    /// No change, or only a newer heartbeat.
     None,
     /// A host or an incarnation that wasn't known.
     Joined,
-    /// Its status, generation or flags.
+    /// The host's status, generation or flags changed.
     Updated,
-    /// The claim is of an earlier beat and speaks of death: what is known here refutes it.
+    /// The claim says that the host is suspected or dead, but a later heartbeat is known here and
+    /// refutes it.
     Refuted,
-    /// It speaks of this host's own death or past: this host must say that it lives.
+    /// The claim says that this host itself is suspected or dead, or comes from an earlier run of
+    /// it and carries a newer heartbeat or incarnation than its own: this host must refute it.
     NeedsRefutation,
 }
 
 #[derive(Clone, Debug)]
 struct Record {
     member: Member,
-    /// When it got its status here.
+    /// When this host recorded the present status.
     since: Ms,
 }
 
-/// The table.
+/// The membership table.
 #[derive(Debug)]
 pub(crate) struct Members {
     me: String,
@@ -48,7 +52,7 @@
     hashes: Option<[u32; BUCKETS]>,
 }
 
-/// Hash by which pulses name a host and its incarnation.
+/// Hash that names a host and its incarnation in pulses.
 pub(crate) fn pulse_id(host: &str, incarnation: u64) -> u64 {
     hash_parts(&[host.as_bytes(), &incarnation.to_le_bytes()])
 }
@@ -61,7 +65,7 @@
     member.status() == HostStatus::Dead
 }
 
-/// Orders claims about one host.
+/// Order of claims about one host.
 fn rank(m: &Member) -> (u64, u64, i32, bool) {
     (m.incarnation, m.beat, m.status, m.leaving)
 }
@@ -82,7 +86,7 @@
         &self.records[&self.me].member
     }
 
-    /// Changes what this host says of itself, at a new beat.
+    /// Increments this host's heartbeat and changes its own record.
     pub(crate) fn update_self(&mut self, change: impl FnOnce(&mut Member)) {
         let me = self.me.clone();
         let Some(record) = self.records.get_mut(&me) else { return };
@@ -99,7 +103,7 @@
         }
     }
 
-    /// Takes a claim.
+    /// Merges a claim.
     pub(crate) fn merge(&mut self, claim: &Member, now: Ms) -> Change {
         if claim.host == self.me {
             let me = self.me();
@@ -153,7 +157,7 @@
         change
     }
 
-    /// A pulse as the claim that it stands for; `None` when its host isn't known.
+    /// The full claim that a pulse stands for; `None` if its host isn't known.
     pub(crate) fn claim(&self, pulse: &Pulse) -> Option<Member> {
         let record = self.records.get(self.ids.get(&pulse.id)?)?;
         let mut claim = record.member.clone();
@@ -165,7 +169,7 @@
         Some(claim)
     }
 
-    /// What a pulse says of a host.
+    /// The pulse of a host: the part of its record that changes often.
     pub(crate) fn pulse(&self, host: &str) -> Option<Pulse> {
         let m = &self.records.get(host)?.member;
         Some(Pulse {
@@ -186,7 +190,7 @@
         self.ids.get(&id).map(String::as_str)
     }
 
-    /// Claims that a host can't be reached. True when that is new.
+    /// Marks a host as suspected because it can't be reached. Returns true if that is new.
     pub(crate) fn suspect(&mut self, host: &str, now: Ms) -> bool {
         let Some(record) = self.records.get_mut(host) else { return false };
         if record.member.status() != HostStatus::Alive || host == self.me {
@@ -197,8 +201,8 @@
         true
     }
 
-    /// Takes hosts that stayed suspected for `patience` for dead, and forgets the long dead.
-    /// Gives the newly dead.
+    /// Marks hosts as dead that have been suspected for `suspect_ms`, and forgets hosts that have
+    /// been dead for long. Returns the newly dead.
     pub(crate) fn expire(&mut self, now: Ms, suspect_ms: Ms) -> Vec<String> {
         let mut newly_dead = Vec::new();
         for (host, record) in &mut self.records {
@@ -219,12 +223,12 @@
         newly_dead
     }
 
-    /// All of them, this host included, by name.
+    /// All hosts, including this one and the dead, by name.
     pub(crate) fn all(&self) -> impl Iterator<Item = &Member> {
         self.records.values().map(|r| &r.member)
     }
 
-    /// Those that aren't taken for dead.
+    /// The hosts that aren't marked as dead.
     pub(crate) fn alive(&self) -> impl Iterator<Item = &Member> {
         self.all().filter(|m| !dead(m))
     }
@@ -234,7 +238,7 @@
         self.alive().filter(|m| !m.leaving)
     }
 
-    /// The live hosts for other parts of the process.
+    /// The live hosts that aren't leaving, in the form used outside this crate.
     pub(crate) fn view(&self) -> Arc<[ViewHost]> {
         let host = |m: &Member| {
             let address: SocketAddr = m.address.parse().ok()?;
@@ -248,8 +252,8 @@
         self.serving().filter_map(host).collect()
     }
 
-    /// Hashes of the table's parts. The dead aren't in them, as each host forgets them when it
-    /// does; neither are beats and generations, which change all the time.
+    /// Hashes of the buckets. They leave out dead hosts, as each host forgets these at its own
+    /// time, and also heartbeats and generations, which change all the time.
     pub(crate) fn hashes(&mut self) -> [u32; BUCKETS] {
         if let Some(hashes) = self.hashes {
             return hashes;
@@ -268,7 +272,7 @@
         out
     }
 
-    /// All records of the parts whose hashes differ from `theirs`.
+    /// All records in buckets whose hashes differ from `theirs`.
     pub(crate) fn differing(&mut self, theirs: &[u32]) -> Vec<Member> {
         let ours = self.hashes();
         let differs = |m: &&Member| {
--- a/crates/gossip/src/node.rs
+++ b/crates/gossip/src/node.rs
@@ -1,4 +1,4 @@
-//! One host's node: carries out what the reducer decides.
+//! The node of one host: carries out what the reducer decides.
 
 use async_trait::async_trait;
 use base::{Clock, Ms, TargetId};
@@ -23,21 +23,21 @@
 use crate::reader::Reader;
 use crate::{Announcement, Parser, Rules, State, Update};
 
-/// Kind of the configuration's object.
+/// Kind of the configuration object.
 pub const FLEET_KIND: &str = "fleet";
-/// Name of the configuration's object.
+/// Name of the configuration object.
 pub const FLEET_NAME: &str = "fleet";
 /// Largest load report or list of cache events that is read, bytes.
 const MAX_REPORT_BYTES: usize = 1 << 20;
-/// Longest wait for the last word of a host that is stopping, ms.
+/// Longest wait for the final exchanges of a host that is stopping, ms.
 const LEAVE_TIMEOUT_MS: Ms = Ms(500);
 
-/// What a node is told at its start.
+/// Configuration of a node.
 #[derive(Clone, Debug)]
 pub struct NodeConfig {
     /// The host's settings.
     pub settings: conf::Settings,
-    /// Its share of a processor, in thousandths; 0 where it isn't told.
+    /// CPU share in thousandths, or 0 if unknown.
     pub capacity: u32,
 }
 
@@ -58,7 +58,7 @@
     tasks: Vec<JoinHandle<()>>,
 }
 
-/// What a node's calls share.
+/// State shared by the node's tasks.
 pub(crate) struct Shared {
     state: Mutex<State>,
     view: RwLock<Arc<[ViewHost]>>,
@@ -76,7 +76,7 @@
 }
 
 impl Node {
-    /// Starts it. Update come in order.
+    /// Starts the node. Updates arrive on the channel in the order in which they were decided.
     pub async fn start(
         config: NodeConfig,
         api: Arc<dyn Api>,
@@ -112,49 +112,50 @@
         Ok((Self { shared, announcements, addr, listener, tasks }, updates_rx))
     }
 
-    /// Where to tell the other hosts something.
+    /// The sender for announcements to the other hosts.
     pub fn announcements(&self) -> mpsc::UnboundedSender<Announcement> {
         self.announcements.clone()
     }
 
-    /// Where other hosts connect.
+    /// The address that other hosts connect to.
     pub fn addr(&self) -> SocketAddr {
         self.addr
     }
 
-    /// The live hosts, for who needs them.
+    /// The live hosts, for other parts of the process.
     pub fn view(&self) -> Arc<dyn View> {
         Arc::new(NodeHandler(self.shared.clone()))
     }
 
-    /// Calls to other hosts, over the connections that the node keeps.
+    /// The client for calls to other hosts, which shares the node's connections.
     pub fn peers(&self) -> Arc<dyn Peers> {
         self.shared.peers.clone()
     }
 
-    /// Answers other hosts' claims from now on; before, they are told that none can be made. The
-    /// first call counts.
+    /// Sets the handler for other hosts' claims. Until then they are answered as unavailable. Only
+    /// the first call has an effect.
     pub fn serve_claims(&self, claims: Arc<dyn Claims>) {
         let _ = self.shared.claims.set(claims);
     }
 
-    /// Composes stage calls for other hosts from now on. The first call counts.
+    /// Sets the handler for other hosts' stage calls. Only the first call has an effect.
     pub fn serve_stages(&self, stages: Arc<dyn StageServer>) {
         let _ = self.shared.stages.set(stages);
     }
 
-    /// What it knows and has counted, for who only looks.
+    /// Read access to what the node knows and has counted.
     pub fn reader(&self) -> Reader {
         Reader::new(self.shared.clone())
     }
 
-    /// Says that this host leaves; it still answers.
+    /// Announces that this host is leaving; it still answers calls.
     pub fn leave(&self) {
-        // A node that has stopped has told its peers already.
+        // A node that has stopped has already announced it.
         let _ = self.announcements.send(Announcement::Leaving);
     }
 
-    /// Stops it: tells the peers that it leaves, unless they know, and closes its connections.
+    /// Stops the node: announces to the peers that it is leaving, unless that was done, and closes
+    /// its connections.
     pub async fn close(self) {
         let calls = self.shared.announce_leaving();
         let last = futures::future::join_all(calls);
@@ -167,7 +168,7 @@
     }
 }
 
-/// Ticks the reducer when it wants to be woken.
+/// Sends the reducer a tick whenever one is due.
 async fn tick_loop(shared: Arc<Shared>) {
     loop {
         let wake = shared.lock().wake();
@@ -197,7 +198,8 @@
         self.state.lock().unwrap_or_else(PoisonError::into_inner)
     }
 
-    /// Feeds an event and starts what is to be done. Gives the answer to a peer, if there is one.
+    /// Passes an event to the reducer and starts the effects. Returns the reply to a peer, if there
+    /// is one.
     fn feed(self: &Arc<Self>, event: Event) -> Option<Exchange> {
         let mut effects = Vec::new();
         let mut state = self.lock();
@@ -205,7 +207,8 @@
         state.reduce(self.clock.now(), event, &mut effects);
         let sooner = state.wake() < wake;
         let mut reply = None;
-        // Under the lock, so that news and views go out in the order in which they were decided.
+        // The lock is still held, so that updates and views are published in the order in which
+        // they were decided.
         for effect in effects {
             match effect {
                 Effect::Reply { exchange, .. } => reply = Some(*exchange),
@@ -224,7 +227,7 @@
         reply
     }
 
-    /// Starts a call; its end comes back as an event.
+    /// Starts a call; its result comes back as an event.
     fn start(self: &Arc<Self>, effect: Effect) {
         let shared = self.clone();
         match effect {
@@ -236,8 +239,8 @@
             }
             Effect::List { call, kind } => {
                 tokio::spawn(async move {
-                    // The client's own bound may not hold; a call that never ends would keep its
-                    // place for good.
+                    // The client's own timeout may fail to end the call, and a call that never ends
+                    // would block its slot for good.
                     let bound = shared.platform_ms + shared.watch_ms;
                     let read = shared.api.list(kind.name());
                     let result = with_timeout(bound, read).await;
@@ -277,8 +280,8 @@
     async fn poll(self: Arc<Self>, target: TargetId, address: SocketAddr, since: Option<u64>) {
         self.counts.polls.fetch_add(1, Ordering::Relaxed);
         let config = PoolConfig { connect_ms: self.target_ms, ..PoolConfig::default() };
-        // A new connection each time: a kept one may have been lost track of, and a poll that
-        // hangs on it would hide a target that leaves.
+        // Each poll opens a new connection: a pooled one may have gone dead on the path, and a poll
+        // that hangs on it would hide a target that is leaving.
         let pool = Pool::new(address, config);
         let report = read_json(&pool, "/v1/load", self.target_ms).await;
         let events = match since {
@@ -290,7 +293,7 @@
         self.feed(Event::Polled { target, report, events });
     }
 
-    /// Says that this host leaves, and gives the calls that say so.
+    /// Announces that this host is leaving, and returns the calls that carry the announcement.
     fn announce_leaving(self: &Arc<Self>) -> Vec<JoinHandle<()>> {
         let mut effects = Vec::new();
         let now = self.clock.now();
@@ -306,7 +309,7 @@
             .map(|(to, exchange)| {
                 let shared = self.clone();
                 tokio::spawn(async move {
-                    // A peer that missed it hears it from the others.
+                    // A peer that misses it learns it from the others.
                     let _ = shared.exchange(to, *exchange).await;
                 })
             })
@@ -333,7 +336,7 @@
     }
 }
 
-/// The node's answers to other hosts, and its view.
+/// Handles other hosts' calls and provides the view of live hosts.
 struct NodeHandler(Arc<Shared>);
 
 #[async_trait]
--- a/crates/gossip/src/platform.rs
+++ b/crates/gossip/src/platform.rs
@@ -1,7 +1,8 @@
-//! Which objects of the platform this host watches, and when it calls.
+//! Schedules reads and watches of the platform's objects.
 //!
-//! A few hosts of each failure domain watch, the rest learn from them; so the platform's calls
-//! grow with the domains and not with the hosts. Every call counts against a bound.
+//! Only a few hosts of each failure domain watch, and the others learn from them. So the platform's
+//! load grows with the number of domains and not with the number of hosts. A rate limit applies to
+//! all calls.
 
 use base::{Ms, Version};
 use rand::RngExt;
@@ -12,22 +13,22 @@
 use crate::event::{CallId, Kind};
 use crate::rules::{Rules, Safeguard};
 
-/// How long a watch waits, ms. A waiting watch counts as one call.
+/// Wait of one watch, ms. A waiting watch counts as one call.
 const WATCH_MS: Ms = Ms::secs(10);
-/// Time between whole reads by a watcher, ms. A watch that answers but has lost track of what it
-/// watches looks sound; only reading again shows what it missed.
+/// Interval between full reads by a watcher, ms. A watch can answer normally although it no longer
+/// follows its objects; only a full read shows what it missed.
 const RELIST_INTERVAL_MS: Ms = Ms::secs(30);
-/// First wait after a failed call, ms; it doubles with each.
+/// First retry delay after a failed call, ms; it doubles with each failure.
 const FIRST_RETRY_MS: Ms = Ms(250);
-/// Longest wait after a failed call, ms: with two watchers per domain, news after an outage waits
-/// for the first of them.
+/// Longest retry delay, ms. With two watchers per domain, changes after an outage reach a domain
+/// with the first successful retry of either.
 const MAX_RETRY_MS: Ms = Ms::secs(5);
-/// Failed calls in a row after which a watcher hands on to another host of its domain.
+/// Failed calls in a row after which a watcher hands over to another host of its domain.
 const HANDOVER_FAILURES: u32 = 3;
-/// Least time between two calls for one kind, ms.
+/// Minimum time between two calls for one kind, ms.
 const MIN_CALL_GAP_MS: Ms = Ms(50);
 
-/// A call to make.
+/// A call to the platform.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 pub(crate) enum Call {
     List,
@@ -37,21 +38,21 @@
 #[derive(Debug)]
 struct KindReader {
     after: Version,
-    /// Read all before the next watch.
+    /// Whether to read all objects before the next watch.
     list: bool,
     listed_at: Ms,
     next: Ms,
-    /// The call that is out, and when it counts as failed.
+    /// The call in flight, and the time at which it counts as failed.
     in_flight: Option<(CallId, Ms)>,
     failures: u32,
 }
 
-/// The readers of all kinds.
+/// The readers of all kinds and their shared rate limit.
 #[derive(Debug)]
 pub(crate) struct Platform {
     readers: BTreeMap<Kind, KindReader>,
     watching: bool,
-    /// Calls that may be made now, in thousandths.
+    /// Tokens of the rate limit, in thousandths of a call.
     tokens: u64,
     refilled_at: Ms,
     /// Calls made so far.
@@ -81,7 +82,7 @@
     pub(crate) fn watch(&mut self, watching: bool, now: Ms) {
         if watching && !self.watching {
             for reader in self.readers.values_mut().filter(|r| r.in_flight.is_none()) {
-                // What happened while another host watched is read first.
+                // First read what changed while another host was watching.
                 reader.list = true;
                 reader.next = reader.next.max(now);
             }
@@ -89,12 +90,12 @@
         self.watching = watching;
     }
 
-    /// Whether the configuration could not be read several times in a row.
+    /// Whether reading the configuration has failed several times in a row.
     pub(crate) fn blind(&self) -> bool {
         self.readers[&Kind::Fleet].failures >= HANDOVER_FAILURES
     }
 
-    /// When [`Platform::due`] has something next.
+    /// When [`Platform::due`] next has a call to make.
     pub(crate) fn wake(&self) -> Ms {
         let at = |r: &KindReader| match r.in_flight {
             Some((_, end)) => end,
@@ -104,7 +105,7 @@
         self.readers.values().map(at).min().unwrap_or(Ms::MAX)
     }
 
-    /// Kinds whose call got no answer in time; each counts as failed.
+    /// Calls without an answer in time; each counts as failed.
     pub(crate) fn overdue(&mut self, now: Ms, rules: &Rules) -> Vec<(Kind, CallId)> {
         if !rules.is_enabled(Safeguard::WatchBound) {
             return Vec::new();
@@ -116,7 +117,7 @@
         self.readers.iter().filter_map(late).collect()
     }
 
-    /// Calls to make now.
+    /// Returns the calls to make now.
     pub(crate) fn due(
         &mut self,
         now: Ms,
@@ -154,7 +155,8 @@
         out
     }
 
-    /// A call ended. True when it was the one that is out; a late one counts for nothing here.
+    /// Handles the end of a call. Returns true if it was the call in flight; a late answer changes
+    /// nothing here.
     pub(crate) fn ended(
         &mut self,
         kind: Kind,
@@ -172,8 +174,9 @@
         match result {
             Ok(version) => {
                 if reader.list {
-                    // Also when it is lower: a store that came back with old content gives its
-                    // next writes versions that a watch from the old one would never see.
+                    // Lower versions are taken too: a store that was restored from old content
+                    // gives its next writes versions that a watch from the previous version would
+                    // never see.
                     reader.after = version;
                     reader.listed_at = now;
                 }
@@ -198,8 +201,8 @@
     }
 }
 
-/// Wait before the next call. Half of it is chance: hosts that lost the platform together would
-/// otherwise all come back together, and put down a store that is just up again.
+/// Delay before the next call. Half of it is random: hosts that lost the platform together would
+/// otherwise all return together and overload a store that has just recovered.
 fn retry_delay(err: &StoreError, failures: u32, rules: &Rules, rng: &mut ChaCha8Rng) -> Ms {
     if !rules.is_enabled(Safeguard::Backoff) {
         return MIN_CALL_GAP_MS;
--- a/crates/gossip/src/poison.rs
+++ b/crates/gossip/src/poison.rs
@@ -1,21 +1,21 @@
-//! Fingerprints of requests that bring targets down, with the time until which they hold.
+//! Fingerprints of requests that crash targets, each with its expiry time.
 
 use base::Ms;
 use std::collections::BTreeMap;
 use wire::PoisonMark;
 
-/// Most marks that are kept; beyond, those that end first go. Poison is rare: a thousand within
-/// one mark's time would mean that something else is wrong.
+/// Most marks that are stored; beyond that, the mark that expires first is dropped. Poison requests
+/// are rare: a thousand within the lifetime of one mark would mean that something else is wrong.
 const MAX_MARKS: usize = 1024;
 
-/// The marks.
+/// The marks, each with its expiry time.
 #[derive(Debug, Default)]
 pub(crate) struct Poison {
     marks: BTreeMap<u64, Ms>,
 }
 
 impl Poison {
-    /// Takes a mark. True when it is new or holds longer.
+    /// Stores a mark. Returns true if it is new or expires later than the known one.
     pub(crate) fn merge(&mut self, mark: &PoisonMark, now: Ms) -> bool {
         let until = Ms(mark.until_ms);
         let known = self.marks.get(&mark.fingerprint).copied().unwrap_or_default();
@@ -30,7 +30,7 @@
         true
     }
 
-    /// Forgets those that have ended.
+    /// Drops expired marks.
     pub(crate) fn expire(&mut self, now: Ms) {
         self.marks.retain(|_, until| *until > now);
     }
--- a/crates/gossip/src/polls.rs
+++ b/crates/gossip/src/polls.rs
@@ -1,7 +1,8 @@
 //! Which targets this host polls, and when.
 //!
-//! Each target is polled by one host of its domain, by rendezvous hash over the live ones: the
-//! targets' work doesn't grow with the fleet, and when a host goes only its targets move.
+//! Each target is polled by one host of its domain, chosen by rendezvous hashing over the live
+//! hosts. So the load on targets doesn't grow with the fleet, and when a host goes away, only its
+//! targets are reassigned.
 
 use base::{DomainId, HostId, Ms, TargetId};
 use conf::{Plan, PoolKind};
@@ -13,20 +14,20 @@
     address: SocketAddr,
     engine: bool,
     next: Ms,
-    /// When the poll that is out counts as lost.
+    /// When the poll in flight counts as lost.
     times_out_at: Option<Ms>,
     /// The first cache event that is wanted.
     since: u64,
 }
 
-/// This host's targets.
+/// The targets assigned to this host.
 #[derive(Debug, Default)]
 pub(crate) struct Polls {
     assigned: BTreeMap<TargetId, Poll>,
 }
 
 impl Polls {
-    /// Shares the domain's targets out among `hosts`, the live ones of the domain.
+    /// Assigns the domain's targets among `hosts`, the domain's live hosts.
     pub(crate) fn assign(
         &mut self,
         plan: &Plan,
@@ -50,12 +51,12 @@
         self.assigned = assigned;
     }
 
-    /// When something is due next.
+    /// When a poll is due next or times out.
     pub(crate) fn wake(&self) -> Ms {
         self.assigned.values().map(|p| p.times_out_at.unwrap_or(p.next)).min().unwrap_or(Ms::MAX)
     }
 
-    /// Polls to make now. One that got no answer within `silence` is given up on.
+    /// Returns the polls to make now. A poll without an answer within `timeout` is abandoned.
     pub(crate) fn due(
         &mut self,
         now: Ms,
@@ -76,16 +77,16 @@
         due
     }
 
-    /// A poll ended. False when the target isn't this host's any more.
+    /// Handles the end of a poll. Returns false if the target is no longer assigned to this host.
     pub(crate) fn ended(&mut self, target: &TargetId, next: Option<u64>) -> bool {
         let Some(poll) = self.assigned.get_mut(target) else { return false };
         poll.times_out_at = None;
-        // Also when it is lower: an engine that restarted counts from the start again.
+        // Lower numbers are taken too: an engine that restarts counts its events from the start.
         poll.since = next.unwrap_or(poll.since);
         true
     }
 
-    /// How many targets are this host's.
+    /// Number of targets assigned to this host.
     pub(crate) fn len(&self) -> usize {
         self.assigned.len()
     }
--- a/crates/gossip/src/reader.rs
+++ b/crates/gossip/src/reader.rs
@@ -1,4 +1,4 @@
-//! Looking into a node.
+//! Read access to a node's state and counters.
 
 use std::sync::Arc;
 use std::sync::atomic::{AtomicU64, Ordering};
@@ -6,14 +6,14 @@
 
 use crate::node::Shared;
 
-/// What a node has sent, heard and asked so far.
+/// Counters of a node's traffic and calls.
 #[derive(Clone, Copy, Debug, Default, PartialEq, Eq)]
 pub struct Counters {
-    /// Bytes of exchanges to other hosts, both calls and answers.
+    /// Bytes of exchanges sent to other hosts, calls and answers.
     pub sent_bytes: u64,
-    /// Bytes of exchanges from other hosts.
+    /// Bytes of exchanges received from other hosts, calls and answers.
     pub heard_bytes: u64,
-    /// Exchanges that this host called.
+    /// Exchanges that this host started.
     pub exchanges: u64,
     /// Calls to the platform.
     pub platform_calls: u64,
@@ -21,7 +21,7 @@
     pub polls: u64,
 }
 
-/// Reads what a node knows and has counted, also while it is stopped.
+/// Reads a node's state and counters, even after it has stopped.
 #[derive(Clone)]
 pub struct Reader {
     shared: Arc<Shared>,
@@ -32,7 +32,7 @@
         Self { shared }
     }
 
-    /// All hosts that this one has heard of, the dead included, with their generation.
+    /// All hosts known to this one, including the dead, with their generation.
     pub fn members(&self) -> Vec<Member> {
         self.shared.lock().members().cloned().collect()
     }
@@ -42,7 +42,7 @@
         self.shared.lock().fleet().cloned()
     }
 
-    /// What it has sent, heard and asked so far.
+    /// The counters so far.
     pub fn counters(&self) -> Counters {
         let counts = &self.shared.counts;
         let get = |n: &AtomicU64| n.load(Ordering::Relaxed);
--- a/crates/gossip/src/results.rs
+++ b/crates/gossip/src/results.rs
@@ -1,4 +1,4 @@
-//! What the platform's objects and the targets' own reports say.
+//! Handles the results of platform reads and of polls of targets.
 
 use base::{Ms, TargetId, Version, hash_parts};
 use logs::Event as Log;
@@ -16,13 +16,14 @@
 use crate::rumors::Topic;
 use crate::state::State;
 
-/// Name of the platform's list.
+/// Name of the object that holds the platform's list of hosts and targets.
 const HOSTS_NAME: &str = "hosts";
-/// Cache events of one poll that are passed on; the rest are only used here.
+/// Most cache events of one poll that are forwarded to peers; the others are only used on this
+/// host.
 const MAX_FORWARDED_EVENTS: usize = 32;
 
 impl State {
-    /// A read or watch of the platform ended.
+    /// Handles the end of a read or watch of the platform.
     pub(crate) fn platform_answered(
         &mut self,
         call: CallId,
@@ -43,7 +44,7 @@
         if blind != self.platform.blind() {
             self.platform_reachability_changed(!blind, out);
         }
-        // A late answer is as good as any: what it holds is ordered by its own versions.
+        // A late answer is still used: its objects are ordered by their own versions.
         for object in result.iter().flat_map(|list| &list.objects) {
             match kind {
                 Kind::Fleet if object.name == crate::FLEET_NAME => {
@@ -56,9 +57,10 @@
         }
     }
 
-    /// The platform can't be reached from here any more, or can again. While it can't, another
-    /// host of the domain watches: or a domain whose two watchers lost the platform, and which is
-    /// cut off from the other domains, would miss what its other hosts could read.
+    /// Handles the loss or the return of the platform. While a host can't reach it, another host of
+    /// the domain watches instead. Otherwise a domain that is cut off from the other domains, and
+    /// whose two watchers have lost the platform, would miss changes that its other hosts could
+    /// read.
     fn platform_reachability_changed(&mut self, blind: bool, out: &mut Vec<Effect>) {
         let event = if blind { Log::PlatformDown } else { Log::PlatformBack };
         self.note(event, self.rules.host.to_string(), out);
@@ -68,9 +70,10 @@
         self.duties_stale = true;
     }
 
-    /// A host that has just started has nothing to compare with: from a store that gives old
-    /// answers it would take back, for its callers, what was in force before. So it hears a peer
-    /// first, if one answers within a round.
+    /// Handles a configuration read from the platform. A host that has just started has no
+    /// configuration to compare it with. From a store that returns stale data it would load, and
+    /// serve to its callers, a configuration that has already been replaced. So it first waits for
+    /// a peer's answer, for up to one round.
     fn fleet_read(&mut self, object: &Object, now: Ms, out: &mut Vec<Effect>) {
         let wait = self.peer_wait_until.is_some() && self.rules.is_enabled(Safeguard::PeersFirst);
         match serde_json::from_str::<FleetObject>(&object.body) {
@@ -82,7 +85,8 @@
         }
     }
 
-    /// A peer answered, or none did in time: what the platform gave counts now.
+    /// Ends the wait for a peer's answer and uses the configuration that the platform gave
+    /// meanwhile.
     pub(crate) fn end_peer_wait(&mut self, now: Ms, out: &mut Vec<Effect>) {
         self.peer_wait_until = None;
         if let Some((fleet, version)) = self.deferred_config.take() {
@@ -119,7 +123,7 @@
         seeds.sort();
         seeds.dedup();
         self.seeds = seeds;
-        // Names of hosts are left out: a host says itself when it stops.
+        // Entries of hosts are skipped: a host itself announces that it stops.
         let marks: Vec<LeavingTarget> = self
             .hosts_list
             .iter()
@@ -131,7 +135,7 @@
         }
     }
 
-    /// A poll of a target ended.
+    /// Handles the end of a poll of a target.
     pub(crate) fn poll_ended(
         &mut self,
         target: &TargetId,
@@ -141,7 +145,7 @@
         out: &mut Vec<Effect>,
     ) {
         self.polls.ended(target, events.as_ref().map(|e| e.next));
-        // Another target may have taken over the address.
+        // Another target may now use the address.
         let own = |name: &str| name.is_empty() || name == target.as_str();
         if let Some(report) = report.filter(|r| own(&r.target)) {
             self.load_polled(target, report.running, report.queued, now, out);
--- a/crates/gossip/src/round.rs
+++ b/crates/gossip/src/round.rs
@@ -1,4 +1,4 @@
-//! Rounds of exchanges: whom to call, and what a call's end says of the peer.
+//! Gossip rounds: which peers to call, and what the outcome of a call says about the peer.
 
 use base::Ms;
 use peer::PeerError;
@@ -15,26 +15,27 @@
 use crate::rumors::{Topic, send_count};
 use crate::state::{PendingCall, State};
 
-/// Rounds between two comparisons of the whole table.
+/// Rounds between two comparisons of the full membership table.
 const SYNC_INTERVAL_ROUNDS: u64 = 5;
-/// Usual times between rounds for which a host that has started compares tables at each round.
+/// Length of the joining phase after a start, in normal round intervals. A joining host compares
+/// tables in each round.
 const JOIN_ROUNDS: u64 = 3;
-/// Rounds of such a host in the time of one.
+/// Rounds of a joining host in one normal round interval.
 const JOIN_SPEEDUP: u64 = 5;
-/// Rounds after which hosts that still show an older configuration are asked about.
+/// Rounds after a change of configuration before hosts that still show an older one are queried.
 const BEHIND_ROUNDS: u64 = 4;
-/// Calls a round, over the whole fleet, to each dead host.
+/// Calls to each dead host per round, by the whole fleet together.
 const REJOIN_CALLS: usize = 3;
-/// Most calls a round to dead hosts and seeds.
+/// Most calls to dead hosts, and to seeds, per round.
 const MAX_REJOIN_CALLS: usize = 3;
-/// Failed calls in a row after which a peer is suspected. One may be a kept connection that was
-/// lost track of: the next call opens another.
+/// Failed calls in a row after which a peer is suspected. A single failure may come from a pooled
+/// connection that has gone dead; the next call opens a new one.
 const SUSPECT_MISSES: u32 = 2;
-/// One round in so many also calls an address of the settings or the platform's list.
+/// One round in this many also calls a seed address from the settings or from the platform's list.
 const SEED_INTERVAL_ROUNDS: u32 = 10;
 
 impl State {
-    /// Does what is due.
+    /// Runs everything that is due.
     pub(crate) fn tick(&mut self, now: Ms, out: &mut Vec<Effect>) {
         for (kind, call) in self.platform.overdue(now, &self.rules) {
             self.platform_answered(call, kind, Err(StoreError::Down), now, out);
@@ -67,7 +68,7 @@
     fn round(&mut self, now: Ms, out: &mut Vec<Effect>) {
         let interval = self.rules.gossip_ms;
         let joining = self.joining(now);
-        // Hosts that started together would otherwise call together for ever.
+        // Without jitter, hosts that started together would call at the same time for ever.
         let jitter = Ms(self.rng.random_range(0..=interval.0 / 5));
         self.next_round = match joining {
             true => now + interval.scale(1, JOIN_SPEEDUP) + jitter.scale(1, JOIN_SPEEDUP),
@@ -83,7 +84,7 @@
             self.duties_stale = true;
         }
         if self.duties_stale {
-            // Calls go by who is alive now.
+            // Forget calls from peers that are older than the suspicion time.
             self.callers.retain(|_, at| now - *at < self.rules.suspect_ms);
         }
         if self.is_aggregator() {
@@ -94,8 +95,8 @@
                 self.rumors.start(Topic::Pool(id), 4);
             }
         }
-        // Asked of the one peer that differed: the answer may be large, and another peer may well
-        // lack the same.
+        // Only the one peer whose tables differed is asked: the answer may be large, and any other
+        // peer may lack the same entries as this host.
         let sync = self.sync_peer.take_if(|_| now >= self.next_sync);
         if sync.is_some() {
             self.next_sync = match joining {
@@ -117,17 +118,17 @@
         }
     }
 
-    /// Whether this host has started so lately that others of its fleet may be unknown to it.
+    /// Whether this host started so recently that it may not know all hosts of its fleet.
     ///
-    /// When a whole fleet starts at once, tables that are compared every few seconds take some
-    /// ten seconds to agree, and meanwhile hosts name different ones for the same duty. A host
-    /// that joins compares at each of some quick rounds instead: what it knows then grows as
-    /// fast as the number of hosts that it has asked.
+    /// When a whole fleet starts at once, tables that are compared every few seconds take about ten
+    /// seconds to converge. In the meantime, hosts assign the same duty to different hosts. A
+    /// joining host instead runs some quick rounds and compares tables in each, so that what it
+    /// knows grows as fast as the number of hosts that it has asked.
     fn joining(&self, now: Ms) -> bool {
         now - self.started < Ms(self.rules.gossip_ms.0 * JOIN_ROUNDS)
     }
 
-    /// One round at once, for a host that is stopping: it may not live to the next.
+    /// Runs one round immediately, for a host that is stopping: it may not live until the next.
     pub(crate) fn final_round(&mut self, now: Ms, out: &mut Vec<Effect>) {
         self.round(now, out);
     }
@@ -139,7 +140,8 @@
         out.push(Effect::Exchange { call, to: address, exchange: Box::new(exchange) });
     }
 
-    /// Some of the hosts that seem to hold an older configuration though it came some time ago.
+    /// A sample of the hosts that still show an older configuration although the active one has
+    /// been in force for some rounds.
     fn behind(&mut self, now: Ms) -> Vec<u64> {
         let mine = self.members.me().generation;
         if now - self.active_since < Ms(self.rules.gossip_ms.0 * BEHIND_ROUNDS) {
@@ -151,9 +153,9 @@
         ids.sample(&mut self.rng, MAX_BEHIND).copied().collect()
     }
 
-    /// Whom to call this round: peers in turn, half of them of this domain; a peer that missed
-    /// its last call at once again; and now and then one that is dead or only listed.
-    /// `first` comes before all others.
+    /// Chooses the peers to call in this round: peers in turn, half of them from this domain; peers
+    /// whose last call failed once, for an immediate retry; and now and then a peer that is dead or
+    /// known only by a seed address. `first` comes before all others.
     fn choose(&mut self, first: Option<&str>) -> Vec<PendingCall> {
         let fanout = self.rules.fanout;
         let local_count = if self.remote_peers.is_empty() { fanout } else { fanout.div_ceil(2) };
@@ -191,8 +193,8 @@
         calls
     }
 
-    /// Dead hosts to call, so that the two sides of a cut find each other when it ends. A cut
-    /// without this would last until both sides restart.
+    /// Dead hosts to call, so that the two sides of a partition find each other when it ends.
+    /// Without these calls a partition would last until both sides restart.
     fn dead_to_call(&mut self) -> Vec<String> {
         if !self.rules.is_enabled(Safeguard::Rejoin) {
             return Vec::new();
@@ -201,7 +203,8 @@
             self.members.all().filter(|m| m.status() == HostStatus::Dead).collect();
         let alive = self.members.alive().count();
         let mut most = MAX_REJOIN_CALLS.min(dead.len());
-        // Shared out over the live hosts: the dead are called some times a round by all together.
+        // The calls are spread over the live hosts: together they call each dead host a few times
+        // per round.
         while most > 0
             && self.rng.random_range(0..alive * MAX_REJOIN_CALLS) >= REJOIN_CALLS * dead.len()
         {
@@ -210,7 +213,7 @@
         dead.sample(&mut self.rng, most).map(|m| m.host.clone()).collect()
     }
 
-    /// Addresses of the settings and the platform's list that no live host has.
+    /// Seed addresses, from the settings and the platform's list, that belong to no live host.
     fn seeds_to_call(&mut self) -> Vec<PendingCall> {
         let alone = self.local_peers.is_empty() && self.remote_peers.is_empty();
         let seed_round = self.rng.random_range(0..SEED_INTERVAL_ROUNDS) == 0;
@@ -232,7 +235,7 @@
         chosen.map(out).collect()
     }
 
-    /// A peer calls.
+    /// Handles a call from a peer.
     pub(crate) fn requested(
         &mut self,
         call: CallId,
@@ -249,7 +252,7 @@
         out.push(Effect::Reply { call, exchange: Box::new(reply) });
     }
 
-    /// A call of this host's ended.
+    /// Handles the end of a call that this host made.
     pub(crate) fn answered(
         &mut self,
         call: CallId,
@@ -272,8 +275,8 @@
         }
     }
 
-    /// A peer didn't answer. One that calls here is alive all the same: the way there is cut in
-    /// one direction, and to take it for dead would take work from a host that can do it.
+    /// Handles a call that failed. A peer that still calls this host is alive: only the path to it
+    /// is cut, in one direction. Marking it as dead would take work from a host that can do it.
     fn call_failed(&mut self, to: PendingCall, now: Ms, out: &mut Vec<Effect>) {
         if to.host.is_empty() {
             return;
@@ -297,7 +300,7 @@
         }
     }
 
-    /// Notes whether a peer's table is another than this host's.
+    /// Remembers a peer whose tables differ from this host's.
     fn compare(&mut self, received: &Exchange) {
         let Some(theirs) = &received.digest else { return };
         let ours = self.digest();
--- a/crates/gossip/src/rules.rs
+++ b/crates/gossip/src/rules.rs
@@ -1,72 +1,74 @@
-//! The bounds that a node keeps to.
+//! Identity and limits of a node.
 
 use base::{DomainId, HostId, Ms};
 use std::net::SocketAddr;
 
-/// A node's identity and bounds, from the host's settings.
+/// A node's identity and limits, from the host's settings.
 #[derive(Clone, Debug)]
 pub struct Rules {
     /// This host.
     pub host: HostId,
     /// Its failure domain.
     pub domain: DomainId,
-    /// Where other hosts reach it.
+    /// Address at which other hosts reach it.
     pub address: SocketAddr,
-    /// Its share of a processor, in thousandths; 0 where it isn't told.
+    /// CPU share in thousandths, or 0 if unknown.
     pub capacity: u32,
-    /// Hosts to learn from at the start.
+    /// Addresses of hosts to contact at the start.
     pub seeds: Vec<SocketAddr>,
-    /// Time between rounds of exchanges, ms.
+    /// Interval between gossip rounds, ms.
     pub gossip_ms: Ms,
-    /// Peers per round.
+    /// Peers called per round.
     pub fanout: usize,
-    /// Watchers of the platform per failure domain.
+    /// Hosts per failure domain that watch the platform.
     pub watchers: usize,
-    /// Time between polls of a target, ms.
+    /// Interval between polls of a target, ms.
     pub poll_ms: Ms,
-    /// Calls to the platform, a second at most.
+    /// Most calls to the platform per second.
     pub platform_calls: u32,
-    /// How long a suspected host has to show that it is alive, ms.
+    /// Time for which a suspected host can refute the suspicion before it is marked as dead, ms.
     pub suspect_ms: Ms,
-    /// Silence past a watch's agreed wait, ms.
+    /// Time beyond a watch's agreed wait after which the watch has failed, ms.
     pub watch_ms: Ms,
-    /// Silence after which a call to the platform has failed, ms.
+    /// Timeout of a call to the platform, ms.
     pub platform_ms: Ms,
-    /// Silence after which a poll has failed, ms.
+    /// Timeout of a poll, ms.
     pub target_ms: Ms,
-    /// Seed of the generator.
+    /// Seed of the random number generator.
     pub seed: u64,
-    /// Which safeguard is off; tests show with it what each is for.
+    /// The safeguard that is disabled, if any; tests use it to show what each one prevents.
     pub disabled: Option<Safeguard>,
 }
 
-/// A safeguard that a test takes away to show what then fails.
+/// A safeguard that a test can disable to show what then fails.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 pub enum Safeguard {
-    /// Only a higher generation is taken.
+    /// An older configuration is never accepted.
     GenerationFloor,
-    /// Lists are read again now and then.
+    /// Lists are read again periodically.
     Relist,
-    /// A watch has a bound on its silence.
+    /// A call to the platform that gets no answer times out.
     WatchBound,
-    /// A suspected host is heard before it is taken for dead.
+    /// A suspected or dead host can refute the claim with a later heartbeat.
     Refutation,
-    /// Dead hosts and seeds are called now and then.
+    /// Dead hosts and seed addresses are called now and then.
     Rejoin,
-    /// The newest word on a leaving target wins.
+    /// The newest mark of a leaving target wins.
     LeavingOrder,
-    /// A host that has just started hears its peers before it believes the platform.
+    /// A host that has just started waits for a peer's answer before it uses the platform's
+    /// configuration.
     PeersFirst,
-    /// A host with a lower generation is given the configuration.
+    /// A peer with an older configuration is sent the newer one.
     Push,
-    /// Failed calls to the platform are spaced out.
+    /// Retries of failed calls to the platform back off.
     Backoff,
-    /// A watcher that can't reach the platform hands on to another host of its domain.
+    /// A watcher that can't reach the platform hands over to another host of its domain.
     BlindHandover,
 }
 
 impl Rules {
-    /// From the host's settings; `address` is where it really listens.
+    /// Takes the values from the host's settings; `address` is the address that it actually listens
+    /// at.
     pub fn new(settings: &conf::Settings, address: SocketAddr) -> Self {
         let rates = &settings.rates;
         Self {
@@ -89,7 +91,7 @@
         }
     }
 
-    /// Whether a safeguard is in its place.
+    /// Whether a safeguard is enabled.
     pub(crate) fn is_enabled(&self, safeguard: Safeguard) -> bool {
         self.disabled != Some(safeguard)
     }
--- a/crates/gossip/src/rumors.rs
+++ b/crates/gossip/src/rumors.rs
@@ -1,43 +1,44 @@
-//! What was learned lately and is still to be passed on, each a bounded number of times.
+//! Recent facts that are still to be sent to peers, each a limited number of times.
 //!
-//! A rumor that every host passes on `sends` times reaches all but a share of about
-//! `e^-sends` of them; the rest learn by comparing hashes. Without the bound, the traffic of a
-//! host would grow with all that ever happened.
+//! A rumor that every host sends `s` times misses a share of only about `e^-s` of the hosts; these
+//! learn it when tables are compared by hash. Without the limit, a host's traffic would grow with
+//! everything that ever happened.
 
 use std::collections::BTreeMap;
 
-/// Most rumors that are kept; the ones passed on most go first.
+/// Most rumors that are stored; beyond that, the one with the fewest remaining sends is dropped.
 const MAX_RUMORS: usize = 4096;
 
 /// What a rumor is about.
 #[derive(Clone, Debug, PartialEq, Eq, PartialOrd, Ord)]
 pub(crate) enum Topic {
-    /// The whole record of a host.
+    /// The full record of a host.
     Member(String),
-    /// What changed of a host that is known.
+    /// The frequently changing part of a known host's record.
     Pulse(String),
-    /// A target is leaving or came back.
+    /// A target is leaving or no longer leaving.
     Leaving(String),
-    /// A request brings targets down.
+    /// A request crashes targets.
     Poison(u64),
     /// Load of a target, by its hash.
     Load(u32),
     /// Load of a pool of another failure domain, by its hash.
     Pool(u32),
-    /// A cache event: target's hash and count.
+    /// A cache event, by the target's hash and the event's sequence number.
     Cache(u32, u64),
 }
 
-/// Rumors with how often each is still to be sent.
+/// The rumors to send.
 #[derive(Debug, Default)]
 pub(crate) struct Rumors {
-    /// How often each is still to be sent, and its turn among those that are sent as often.
+    /// The remaining sends of each, and its sequence number, which orders rumors with as many
+    /// sends.
     remaining: BTreeMap<Topic, (u32, u64)>,
     sequence: u64,
 }
 
 impl Rumors {
-    /// Starts passing something on, or starts again.
+    /// Starts sending a rumor, or restarts it.
     pub(crate) fn start(&mut self, topic: Topic, send_count: u32) {
         if self.remaining.len() >= MAX_RUMORS {
             let least = self.remaining.iter().min_by_key(|(_, n)| n.0).map(|(t, _)| t.clone());
@@ -47,9 +48,10 @@
         self.remaining.insert(topic, (send_count, self.sequence));
     }
 
-    /// The topics for one message that `wanted` picks, at most `most`: those sent least often so
-    /// far, and of these the ones that wait longest: by any fixed order the last would never be
-    /// sent while more comes than messages hold. Each counts as sent.
+    /// Takes the topics for one message that `wanted` selects, at most `most`. Those with the most
+    /// remaining sends come first, and among these the ones that were started first: with any fixed
+    /// order, the last topics would never be sent while more rumors arrive than messages can carry.
+    /// Each topic counts as sent.
     pub(crate) fn take(&mut self, most: usize, wanted: impl Fn(&Topic) -> bool) -> Vec<Topic> {
         let mut chosen: Vec<(u32, u64, Topic)> = self
             .remaining
@@ -69,7 +71,7 @@
     }
 }
 
-/// Times that a host passes something on so that it reaches all of `hosts`.
+/// Number of times that each host sends a rumor so that it reaches all of `hosts`.
 pub(crate) fn send_count(hosts: usize) -> u32 {
     2 * (usize::BITS - hosts.leading_zeros()).max(2)
 }
--- a/crates/gossip/src/state.rs
+++ b/crates/gossip/src/state.rs
@@ -1,6 +1,7 @@
-//! The reducer: everything that a node knows, and what it does about each event.
+//! The reducer: all state of a node, and its reaction to each event.
 //!
-//! No clock, no network: the node carries out its effects, and tests play them in virtual time.
+//! It uses neither clock nor network. The node carries out the effects, and tests run them in
+//! virtual time.
 
 use base::{Generation, Ms};
 use rand::SeedableRng;
@@ -22,18 +23,19 @@
 use crate::rumors::{Rumors, Topic, send_count};
 use crate::update::{Announcement, Update};
 
-/// An exchange that is out.
+/// An exchange in flight.
 #[derive(Clone, Debug)]
 pub(crate) struct PendingCall {
-    /// The host that was meant; empty for a seed.
+    /// The host that is called; empty for a seed address.
     pub(crate) host: String,
     pub(crate) to: SocketAddr,
     pub(crate) domain: String,
-    /// Carries the configuration to a peer that was behind: its answer isn't answered again.
+    /// Whether the call carries the configuration to a peer that was behind; its answer isn't
+    /// followed by another call.
     pub(crate) push: bool,
 }
 
-/// What a node knows.
+/// The state of a node.
 pub struct State {
     pub(crate) rules: Rules,
     pub(crate) rng: ChaCha8Rng,
@@ -47,41 +49,41 @@
     pub(crate) caches: Caches,
     pub(crate) polls: Polls,
     pub(crate) platform: Platform,
-    /// While a host that has just started waits for its peers' word: until when, and what the
-    /// platform gave meanwhile.
+    /// Set while a host that has just started waits for a peer's answer: the end of that wait, and
+    /// the configuration that the platform gave meanwhile, with its version.
     pub(crate) peer_wait_until: Option<Ms>,
     pub(crate) deferred_config: Option<(FleetObject, u64)>,
     pub(crate) started: Ms,
     pub(crate) next_round: Ms,
     pub(crate) next_expedited: Ms,
     pub(crate) next_sync: Ms,
-    /// The peer whose tables were last seen to differ; an empty name for any.
+    /// The peer whose tables were last seen to differ; an empty name means any peer.
     pub(crate) sync_peer: Option<String>,
-    /// A delta didn't fit: the configuration is wanted whole.
+    /// A delta had another base than the active configuration: ask for the full configuration.
     pub(crate) wants_full_config: bool,
-    /// Who is alive changed, and with it who does what.
+    /// Membership has changed, so duties must be reassigned.
     pub(crate) duties_stale: bool,
-    /// When the configuration in force came.
+    /// When the active configuration came into force here.
     pub(crate) active_since: Ms,
     pub(crate) pending_calls: BTreeMap<CallId, PendingCall>,
     pub(crate) calls: u64,
-    /// Peers of this domain and of the others, in the order in which they are called.
+    /// Peers of this domain and of the others, in calling order.
     pub(crate) local_peers: VecDeque<String>,
     pub(crate) remote_peers: VecDeque<String>,
     /// Failed calls in a row to each host.
     pub(crate) misses: BTreeMap<String, u32>,
-    /// When each host last called here.
+    /// When each host last called this one.
     pub(crate) callers: BTreeMap<String, Ms>,
-    /// Addresses to learn from, by settings and the platform's list.
+    /// Seed addresses, from the settings and the platform's list.
     pub(crate) seeds: Vec<SocketAddr>,
-    /// Newest version of the platform's list that was read.
+    /// Newest version of the platform's list of hosts and targets that was read.
     pub(crate) hosts_version: u64,
     pub(crate) hosts_list: Vec<wire::HostEntry>,
     pub(crate) live: u32,
 }
 
 impl State {
-    /// A host that has just started.
+    /// Creates the state of a host that has just started.
     pub fn new(rules: Rules, checker: Box<dyn Checker>, now: Ms) -> Self {
         let me = Member {
             host: rules.host.to_string(),
@@ -128,7 +130,7 @@
         }
     }
 
-    /// Takes an event and adds what is to be done about it.
+    /// Processes an event and appends its effects to `out`.
     pub fn reduce(&mut self, now: Ms, event: Event, out: &mut Vec<Effect>) {
         match event {
             Event::Tick => self.tick(now, out),
@@ -156,7 +158,7 @@
         self.next_round.min(self.platform.wake()).min(self.polls.wake()).min(peers)
     }
 
-    /// Hosts as this one sees them, the dead included.
+    /// All hosts known to this one, including the dead.
     pub fn members(&self) -> impl Iterator<Item = &Member> {
         self.members.all()
     }
@@ -171,12 +173,12 @@
         self.active.as_ref().map(|h| &h.object)
     }
 
-    /// Generation in force; zero for none.
+    /// Generation of the active configuration; zero for none.
     pub fn generation(&self) -> Generation {
         Generation(self.active.as_ref().map_or(0, |h| h.object.generation))
     }
 
-    /// The last word on whether a target is leaving.
+    /// The newest mark of a target, leaving or not.
     pub fn leaving_mark(&self, target: &str) -> Option<&LeavingTarget> {
         self.leaving.get(target)
     }
@@ -186,7 +188,7 @@
         self.platform.calls
     }
 
-    /// Targets that this host polls.
+    /// Number of targets that this host polls.
     pub fn polled_targets(&self) -> usize {
         self.polls.len()
     }
@@ -200,15 +202,16 @@
         CallId(self.calls)
     }
 
-    /// Brings the next round forward, for news that shouldn't wait: a quarter of the usual time
-    /// at most, and not twice in that time, so that a storm of news stays bounded.
+    /// Moves the next round forward, for news that shouldn't wait. The round comes within a quarter
+    /// of the usual interval, and at most once in that time, so that many changes at once don't
+    /// cause unlimited traffic.
     pub(crate) fn expedite_round(&mut self, now: Ms) {
         let quarter = self.rules.gossip_ms.scale(1, 4);
         let at = now.max(self.next_expedited);
         self.next_round = self.next_round.min(at + Ms(quarter.0 / 4));
     }
 
-    /// Takes a configuration from the platform or a peer.
+    /// Handles a configuration from the platform or a peer.
     pub(crate) fn offer(
         &mut self,
         object: FleetObject,
@@ -245,7 +248,7 @@
         offer
     }
 
-    /// Takes a word on a leaving target.
+    /// Merges a mark of a target.
     pub(crate) fn merge_leaving(&mut self, mark: &LeavingTarget, now: Ms, out: &mut Vec<Effect>) {
         let before = self.leaving.is_leaving(&mark.target);
         if !self.leaving.merge(mark, self.rules.is_enabled(Safeguard::LeavingOrder)) {
@@ -260,7 +263,7 @@
         self.expedite_round(now);
     }
 
-    /// Takes a poison mark.
+    /// Merges a poison mark.
     pub(crate) fn merge_poison(&mut self, mark: &PoisonMark, now: Ms, out: &mut Vec<Effect>) {
         if !self.poison.merge(mark, now) {
             return;
@@ -272,7 +275,7 @@
         self.expedite_round(now);
     }
 
-    /// This host is stopping: it says so at once, so that nobody counts on it.
+    /// Announces at once that this host is stopping, so that no other host relies on it.
     fn start_leaving(&mut self, now: Ms) {
         if self.members.me().leaving {
             return;
--- a/crates/gossip/src/update.rs
+++ b/crates/gossip/src/update.rs
@@ -1,80 +1,81 @@
-//! What a node tells its host, and a host its node.
+//! Updates that a node sends to its host process, and announcements that the process sends to other
+//! hosts.
 
 use base::{DomainId, Ms, PoolId, TargetId};
 use conf::Plan;
 use std::sync::Arc;
 
-/// Something learned.
+/// Something that the node has learned.
 #[derive(Clone, Debug)]
 pub enum Update {
-    /// A configuration is in force; its generation is above all earlier ones.
+    /// A configuration is in force; its generation is never lower than an earlier one's.
     Fleet(Arc<Plan>),
-    /// A target is leaving, or has come back.
+    /// A target is leaving or no longer leaving.
     Leaving {
-        /// Which target.
+        /// The target.
         target: TargetId,
-        /// False when it has come back.
+        /// False if it is no longer leaving.
         leaving: bool,
     },
-    /// Another host gave up on a request that brings targets down.
+    /// Another host gave up on a request that crashes targets.
     Poisoned {
         /// Fingerprint of the request.
         fingerprint: u64,
-        /// How long to remember it.
+        /// When the mark expires.
         until: Ms,
     },
-    /// Load of a target, as its poller read it.
+    /// Load of a target, as the host that polled it read it.
     Load {
-        /// Which target.
+        /// The target.
         target: TargetId,
-        /// Requests it runs.
+        /// Running requests.
         running: u32,
-        /// Requests that wait there.
+        /// Waiting requests.
         queued: u32,
-        /// When it was true.
+        /// When the load was measured.
         at: Ms,
     },
     /// Load of a pool in another failure domain.
     DomainLoad {
-        /// Which failure domain.
+        /// The failure domain.
         domain: DomainId,
-        /// Which pool.
+        /// The pool.
         pool: PoolId,
-        /// Requests its targets run.
+        /// Running requests on all its targets.
         running: u32,
-        /// Requests that wait there.
+        /// Waiting requests.
         queued: u32,
-        /// Requests that its targets run at once.
+        /// Requests that its targets can run at once.
         slots: u32,
-        /// When it was true.
+        /// When the load was measured.
         at: Ms,
     },
-    /// An engine's cache took or dropped a prompt prefix.
+    /// An engine's cache stored or evicted a prompt prefix.
     Cache {
-        /// Which engine.
+        /// The engine.
         target: TargetId,
-        /// The engine's own count of its events.
+        /// Sequence number that the engine gave the event.
         seq: u64,
         /// Hash of the prefix.
         prefix: u64,
-        /// True when it came in.
+        /// True if it was stored, false if it was evicted.
         stored: bool,
     },
-    /// How many live hosts there are in this failure domain, this one included.
+    /// The number of live hosts in this failure domain changed.
     Hosts {
-        /// Their number, at least 1.
+        /// Number of live hosts, including this one; at least 1.
         live: u32,
     },
 }
 
-/// Something to tell the other hosts.
+/// Something that a host announces to the other hosts.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 pub enum Announcement {
-    /// A request brings targets down.
+    /// A request crashes targets.
     Poison {
         /// Fingerprint of the request.
         fingerprint: u64,
-        /// How long to remember it.
+        /// When the mark expires.
         until: Ms,
     },
     /// This host is stopping.
--- a/crates/gossip/tests/faults.rs
+++ b/crates/gossip/tests/faults.rs
@@ -1,4 +1,4 @@
-//! Single faults in virtual time: what a host or its callers see, and when it ends.
+//! Single faults in virtual time: what hosts or their callers see, and when it ends.
 
 use base::{Ms, Version};
 use gossip::{Announcement, Rules, Safeguard};
@@ -42,10 +42,10 @@
     mesh.state(host).unwrap().view().iter().any(|v| v.host.as_str() == name)
 }
 
-/// Other hosts would go on counting on a host that answers nobody: its targets are not polled and
-/// its shards' writers wait. Its process is stopped in its place, connections stay open and calls
-/// to it end by their bound on silence. Two failed calls make it suspected, and as no later beat
-/// of it comes, it is taken for dead; when it goes on, its beats show that it lives.
+/// The process of a host is stopped: connections stay open, and calls to it time out. Undetected,
+/// other hosts would keep relying on it: its targets wouldn't be polled, and writers of its shards
+/// would wait. After two failed calls it is suspected, and as no later heartbeat comes, it is
+/// marked as dead. When it resumes, its heartbeats show that it is alive.
 #[test]
 fn a_paused_host_is_detected_and_rejoins() {
     let mut mesh = started(|_| ());
@@ -63,9 +63,9 @@
     }
 }
 
-/// Nobody sees anything, but one host says that it can't call another. The way from the one to
-/// the other is cut; the other still calls here and answers third hosts. To take it for dead
-/// would take work from a host that can do it.
+/// The link from one host to another is cut in one direction; the second host still calls the first
+/// and answers the others. No caller notices anything, but the first host logs that it can't call
+/// the second. Marking the second as dead would take work from a host that can do it.
 #[test]
 fn a_one_way_cut_is_reported_and_no_host_is_taken_for_dead() {
     let mut mesh = started(|_| ());
@@ -78,8 +78,9 @@
     assert!(reported, "{:?}", mesh.learned(0).notes);
 }
 
-/// Work that needs a host waits in vain: it hears everyone, and nothing that it sends arrives.
-/// Its own calls and its answers are lost, so no later beat of it comes and it is found.
+/// A host receives everything, but nothing that it sends arrives. Undetected, work that needs it
+/// would wait in vain. As its calls and answers are lost, no later heartbeat of it comes, and it is
+/// marked as dead.
 #[test]
 fn a_host_that_can_only_receive_is_detected() {
     let mut mesh = started(|_| ());
@@ -97,9 +98,9 @@
     }
 }
 
-/// A host that is replaced during an outage of the platform takes callers within seconds: it has
-/// nothing in memory, the platform answers nothing, and its seeds give it the configuration with
-/// the answer to its first call.
+/// A host that is replaced during an outage of the platform serves callers within seconds: it has
+/// nothing in memory and gets nothing from the platform, but its seeds send it the configuration
+/// with the answer to its first call.
 #[test]
 fn a_host_that_restarts_in_an_outage_gets_its_configuration_from_peers() {
     let mut mesh = started(|_| ());
@@ -116,8 +117,9 @@
     assert_eq!(mesh.state(4).unwrap().view().len(), 6);
 }
 
-/// An outage that ends brings no second one: during it the hosts call more and more rarely, and
-/// at its end not all at once. Without the backoff they call as fast as the platform refuses.
+/// The end of an outage causes no second one: during the outage the hosts call less and less often,
+/// and at its end they don't all call at once. Without the backoff they call as fast as the
+/// platform refuses.
 #[test]
 fn calls_in_an_outage_are_few() {
     let calls = |disabled| {
@@ -127,15 +129,17 @@
         mesh.run(Ms::secs(60));
         mesh.platform.calls - before
     };
-    // Six hosts read three kinds, each every 2.5 s at the soonest after some seconds.
+    // Six hosts read three kinds each. After some seconds, each of these is read every 2.5 s at
+    // most.
     let bound = 6 * 3 * (60 * 2 / 5 + 6);
     assert!(calls(None) < bound, "{}", calls(None));
     assert!(calls(Some(Safeguard::Backoff)) > bound);
 }
 
-/// The domain's hosts would serve by old settings though half of them could read new ones: its
-/// watcher has lost the platform and the domain is cut off from the others. The watcher says that
-/// it is blind, and the domain's other host watches in its place.
+/// The watcher of a domain has lost the platform, and the domain is cut off from the others. The
+/// domain's hosts would keep serving with old settings although half of them could read new ones.
+/// The watcher reports that it can't reach the platform, and the domain's other host watches
+/// instead.
 #[test]
 fn a_blind_watcher_hands_on() {
     let in_force = |disabled| {
@@ -150,7 +154,8 @@
                 mesh.cut(other, host);
             }
         }
-        // Whichever of the two watches: the one whose loss of the platform is noticed.
+        // Each of the two hosts loses the platform in turn, so that one of the losses affects the
+        // watcher.
         let mut worst = 2;
         for watcher in [a, b] {
             mesh.set_platform_reachable(watcher, false);
@@ -169,8 +174,9 @@
     assert!(in_force(Some(Safeguard::BlindHandover)) < 2);
 }
 
-/// All hosts end with one configuration though two were accepted under one generation: the store
-/// came back without the newest write and took another in its place. The later write counts.
+/// All hosts converge on one configuration although two were accepted with the same generation: the
+/// store was restored without the newest write and accepted another in its place. The later write
+/// wins.
 #[test]
 fn of_two_changes_of_one_generation_the_later_write_counts() {
     let mut mesh = started(|_| ());
@@ -187,8 +193,8 @@
     assert!((0..6).all(replaced));
 }
 
-/// A request that brings targets down is refused everywhere before its caller has sent it to many
-/// hosts: the mark reaches all within two rounds of exchanges, and ends by itself.
+/// A request that crashes targets is refused on every host before its caller has sent it to many of
+/// them: its mark reaches all hosts within two gossip rounds, and later expires.
 #[test]
 fn a_poison_mark_reaches_all_within_two_rounds() {
     let mut mesh = started(|_| ());
@@ -200,7 +206,7 @@
     }
 }
 
-/// A host that stops gets no more work from its peers: it says so at once.
+/// A host that stops gets no more work from its peers, as it announces that it is leaving at once.
 #[test]
 fn a_host_that_stops_leaves_the_view() {
     let mut mesh = started(|_| ());
@@ -214,8 +220,8 @@
     assert_eq!(polled, SIX_HOSTS.targets);
 }
 
-/// No host sends a target new work three seconds after an operator marked it, or after it said
-/// so itself in its load report.
+/// No host sends new work to a target three seconds after an operator marked it as leaving, or
+/// after its own load report said so.
 #[test]
 fn a_leaving_target_is_known_everywhere_within_three_seconds() {
     let mut mesh = started(|_| ());
@@ -236,8 +242,8 @@
     }
 }
 
-/// An operator's word stays though the target itself says otherwise: only who said that a target
-/// leaves, or an operator, takes it back.
+/// An operator's mark holds although the target itself reports otherwise: only the source that
+/// marked a target as leaving, or an operator, can revoke the mark.
 #[test]
 fn a_target_cannot_revoke_an_operators_mark() {
     let mut mesh = started(|_| ());
@@ -257,8 +263,8 @@
     assert!((0..6).all(|h| !is_leaving(&mesh, h)));
 }
 
-/// A delta that doesn't fit what a host holds changes nothing there: the host asks for the whole
-/// configuration, and has it with the next answers.
+/// A delta with another base than a host's configuration changes nothing: the host asks for the
+/// full configuration and gets it with the next answers.
 #[test]
 fn a_delta_with_another_base_is_replaced_by_the_full_configuration() {
     let mut mesh = started(|_| ());
@@ -270,9 +276,9 @@
     assert_eq!(mesh.state(2).unwrap().generation().0, 2);
 }
 
-/// Callers of a host that is replaced would get what was in force before the last change: the
-/// store gives old answers, and the new host has nothing to compare them with. It hears its peers
-/// before it believes the platform.
+/// A host restarts while the store returns stale data. It has no configuration to compare the data
+/// with, and its callers would be served with the one that was in force before the last change. So
+/// it waits for an answer from a peer before it uses the platform's configuration.
 #[test]
 fn a_host_that_restarts_before_a_stale_store_goes_by_its_peers() {
     let first = |disabled| {
@@ -289,7 +295,7 @@
             },
         );
         mesh.run(Ms::secs(5));
-        // Its other peers are in the other region, farther than the platform.
+        // Its other peers are in the other region and farther away than the platform.
         mesh.kill(1);
         mesh.start(4);
         mesh.run(Ms::secs(5));
@@ -299,8 +305,9 @@
     assert_eq!(first(Some(Safeguard::PeersFirst)), 1);
 }
 
-/// A host that restarts with its clock behind would be taken for its own past: all that it says
-/// is older than what is known of it. It hears that from its peers and counts on from there.
+/// A host restarts with its clock behind. Its messages would be taken for those of its earlier run,
+/// as its incarnation is older than what is known of it. It learns this from its peers and
+/// continues from the higher incarnation.
 #[test]
 fn a_host_whose_clock_is_behind_is_seen_after_its_restart() {
     let mut mesh = started(|_| ());
--- a/crates/gossip/tests/node.rs
+++ b/crates/gossip/tests/node.rs
@@ -1,4 +1,4 @@
-//! Nodes over real sockets, with the stand-in of the platform.
+//! Nodes over real sockets, with a fake platform.
 
 use async_trait::async_trait;
 use base::{Clock, Ms, SystemClock};
@@ -14,14 +14,14 @@
 use wire::{Claim, Finish, Grant, GrantKind};
 
 const SIZE: FleetSize = FleetSize { hosts: 3, domains: 1, targets: 1, workspaces: 1 };
-/// Longer than anything here takes; a test that waits this long has failed.
+/// Longer than any step here takes; a test that waits this long has failed.
 const TEST_TIMEOUT: Ms = Ms::secs(30);
 
 fn local() -> SocketAddr {
     SocketAddr::from((Ipv4Addr::LOCALHOST, 0))
 }
 
-/// An address of a target that nobody listens at.
+/// A target address that nobody listens at.
 fn closed_address() -> SocketAddr {
     SocketAddr::from((Ipv4Addr::LOCALHOST, 9))
 }
@@ -74,7 +74,7 @@
             }
         }
     };
-    tokio::time::timeout(TEST_TIMEOUT.duration(), wait).await.expect("the news comes")
+    tokio::time::timeout(TEST_TIMEOUT.duration(), wait).await.expect("the update arrives")
 }
 
 async fn eventually(mut done: impl FnMut() -> bool) {
@@ -83,7 +83,7 @@
             tokio::time::sleep(Ms(10).duration()).await;
         }
     };
-    tokio::time::timeout(TEST_TIMEOUT.duration(), wait).await.expect("it happens");
+    tokio::time::timeout(TEST_TIMEOUT.duration(), wait).await.expect("the condition becomes true");
 }
 
 async fn target() -> Target {
@@ -108,7 +108,7 @@
     let (a, mut a_updates) = node("host-a", &platform, &[]).await;
     let (b, mut b_updates) = node("host-b", &platform, &[a.addr()]).await;
     for updates in [&mut a_updates, &mut b_updates] {
-        // In any order.
+        // The three updates may come in any order.
         let mut seen = [false; 3];
         while seen != [true; 3] {
             match wait_for(updates, |_| true).await {
@@ -126,7 +126,7 @@
     b.announcements().send(Announcement::Poison { fingerprint: 7, until: Ms(u64::MAX) }).unwrap();
     wait_for(&mut a_updates, |n| matches!(n, Update::Poisoned { fingerprint: 7, .. })).await;
     assert!(a.reader().counters().sent_bytes > 0 && a.reader().counters().platform_calls > 0);
-    // The host that stops says so before it goes.
+    // A host that stops announces it before it goes.
     b.close().await;
     eventually(|| a.view().hosts().len() == 1).await;
     a.close().await;
@@ -134,8 +134,8 @@
     platform.close().await;
 }
 
-/// Callers of a host that is replaced in an outage are served within seconds: the platform
-/// answers nothing, and the new host takes its settings, with the audit trail, from its peers.
+/// A host that is replaced during an outage serves its callers within seconds: the platform answers
+/// nothing, and the new host gets the configuration, with its audit trail, from its peers.
 #[tokio::test(flavor = "multi_thread", worker_threads = 2)]
 async fn a_node_that_starts_in_an_outage_learns_from_its_peers() {
     let platform = Platform::start(local()).await.unwrap();
--- a/crates/gossip/tests/restart.rs
+++ b/crates/gossip/tests/restart.rs
@@ -1,13 +1,13 @@
-//! Hosts that are lost and started again together, in virtual time: how long until all name the
-//! same hosts, and so the same one for each duty.
+//! Hosts that are lost and restarted together, in virtual time: how long until all of them know the
+//! same live hosts, and so assign each duty to the same host.
 
 use base::Ms;
 use mesh::{FleetSize, Mesh, rules};
 
-/// Longest time in which the hosts of a fleet may come up, ms.
+/// Time within which all hosts of a fleet are started, ms.
 const START_WINDOW: Ms = Ms(300);
 
-/// A fleet whose hosts know the same three of each other at their start.
+/// A fleet in which all hosts have the same three seeds.
 fn fleet(hosts: usize, seed: u64) -> Mesh {
     let size = FleetSize { hosts, domains: 6, targets: 24, workspaces: 5 };
     let mut all: Vec<_> = (0..hosts).map(|i| rules(size, i, seed)).collect();
@@ -19,7 +19,7 @@
     Mesh::new(all)
 }
 
-/// Starts hosts one after the other, all within [`SPREAD`].
+/// Starts hosts one after the other, spread over [`START_WINDOW`].
 fn start(mesh: &mut Mesh, hosts: impl ExactSizeIterator<Item = usize>) {
     let count = hosts.len() as u64;
     let started = mesh.now();
@@ -29,7 +29,7 @@
     }
 }
 
-/// Time until 99 percent of the hosts see all of them in their present lives.
+/// Time until 99 percent of the hosts see all hosts in their present incarnations.
 fn time_to_agree(mesh: &mut Mesh, most: Ms) -> Ms {
     let started = mesh.now();
     let incarnations: Vec<u64> = (0..mesh.len()).map(|i| own_incarnation(mesh, i)).collect();
@@ -62,10 +62,11 @@
         && state.members().filter(|m| known(m)).count() == incarnations.len()
 }
 
-// Callers see most stage calls turned away for ten seconds after a power cut. All hosts start at
-// once and know three seeds; each takes the few hosts that it has heard of for the whole fleet, so
-// hundreds name themselves for the same duty and fill the same targets. Tables that are compared
-// every five rounds agree after 17 s at 295 hosts; the bound is one second.
+// After a power cut, all hosts start at once and know only three seeds. Each host takes the few
+// hosts that it knows so far for the whole fleet, so hundreds of hosts assign the same duty to
+// themselves and overload the same targets: for ten seconds callers would see most stage calls
+// refused. With tables compared only every five rounds, 295 hosts converge after 17 s; the limit
+// here is one second.
 #[test]
 fn a_fleet_that_starts_at_once_agrees_on_its_hosts_within_a_second() {
     for (hosts, seeds) in [(6, 3), (76, 3), (295, 1)] {
@@ -78,8 +79,8 @@
     }
 }
 
-// A tenth of the hosts are killed and come back under their old names. The others hold records of
-// their earlier lives, or have taken them for dead, and must hear of the new ones.
+// A tenth of the hosts are killed and restart under their old names. The others still hold records
+// of the earlier runs, or have marked the hosts as dead, and must learn of the new ones.
 #[test]
 fn a_tenth_that_was_killed_is_known_again_within_two_seconds() {
     for (hosts, seed) in [(76, 1), (76, 2)] {
@@ -97,7 +98,8 @@
     }
 }
 
-// A new host is slow at first: its own view must be whole before it takes on duties by it.
+// A new host must know the whole fleet before it takes on duties, so its view must be complete
+// soon.
 #[test]
 fn a_host_that_joins_a_running_fleet_knows_it_within_half_a_second() {
     let hosts = 76;
--- a/crates/gossip/tests/schedules/found.rs
+++ b/crates/gossip/tests/schedules/found.rs
@@ -1,4 +1,4 @@
-//! Schedules that showed a fault, as they were when they were found.
+//! Schedules that failed, kept as they were found.
 
 use base::Ms;
 
@@ -13,9 +13,9 @@
     }
 }
 
-/// A mark that was told in a domain cut off from the others stayed unknown outside for good. Its
-/// rumor had died out before the cut ended, and the host that saw the difference asked another
-/// peer, which lacked the same.
+/// A mark that was announced in a domain that was cut off from the others never became known
+/// outside. Its rumor had used up its sends before the cut ended, and the host that saw the
+/// difference asked another peer, which lacked the same mark.
 #[test]
 fn a_mark_from_a_cut_off_domain_is_requested_from_a_peer_that_has_it() {
     assert_passes(&[
@@ -40,8 +40,8 @@
     ]);
 }
 
-/// A store that comes back twice with old content accepted one generation twice, and then held
-/// the earlier of the two: hosts stay with the later write.
+/// A store that was restored twice from old content accepted one generation twice and then held the
+/// earlier of the two. Hosts stay with the later write.
 #[test]
 fn a_store_restored_twice_reverts_no_host() {
     assert_passes(&[(Op::Apply, 0), (Op::Restore, 0), (Op::Apply, 56), (Op::Restore, 0)]);
--- a/crates/gossip/tests/schedules/main.rs
+++ b/crates/gossip/tests/schedules/main.rs
@@ -1,7 +1,8 @@
-//! Random schedules of faults over six hosts' real reducers in virtual time, against an oracle.
+//! Random schedules of faults over the real reducers of six hosts in virtual time, checked by an
+//! oracle.
 //!
-//! Seeds are fixed, so every run plays the same schedules. A schedule that fails is made smaller
-//! by proptest and printed as a list of steps; it then stands in `found.rs`.
+//! Seeds are fixed, so every run plays the same schedules. When a schedule fails, proptest shrinks
+//! it and prints it as a list of steps, which then goes into `found.rs`.
 
 mod found;
 mod op;
@@ -13,7 +14,7 @@
 use proptest::strategy::{Strategy, ValueTree};
 use proptest::test_runner::{Config, RngAlgorithm, TestCaseError, TestRng, TestRunner};
 
-/// Schedules of each test below.
+/// Number of schedules per seed.
 const SCHEDULES: u32 = 300;
 
 fn runner(seed: u8, cases: u32) -> TestRunner {
@@ -50,7 +51,8 @@
     explore(4);
 }
 
-/// How many schedules it takes until the oracle notices that a safeguard is missing.
+/// The number of schedules until the oracle finds a violation with a safeguard disabled, and that
+/// violation.
 fn schedules_until_failure(disabled: Safeguard) -> Option<(u32, String)> {
     let mut runner = runner(1, 1);
     (1..=400).find_map(|n| {
--- a/crates/gossip/tests/schedules/op.rs
+++ b/crates/gossip/tests/schedules/op.rs
@@ -1,4 +1,4 @@
-//! What happens to a small fleet, as data.
+//! Events and faults that a schedule applies to a small fleet.
 
 use base::Ms;
 use proptest::prelude::*;
@@ -6,7 +6,7 @@
 pub const HOSTS: usize = 6;
 pub const DOMAINS: usize = 3;
 
-/// One thing that happens, and how long the fleet runs after it.
+/// One event, and how long the fleet runs after it.
 #[derive(Clone, Debug)]
 pub struct Step {
     pub op: Op,
@@ -19,21 +19,21 @@
     Apply,
     /// Two operators read the same generation and both write; the second one's write is refused.
     Race,
-    /// An operator marks a target, or takes the mark back.
+    /// An operator marks a target as leaving, or revokes the mark.
     Operator(bool),
-    /// A target says of itself that it is leaving, or not.
+    /// A target reports itself as leaving, or no longer.
     Own(bool),
-    /// The platform's list says so of a target.
+    /// The platform's list shows a target as leaving, or no longer.
     Listed(bool),
-    /// A host gives up on a request.
+    /// A host gives up on a request and marks it as poison.
     Poison(usize),
     Kill(usize),
     Start(usize),
     Pause(usize),
     Resume(usize),
-    /// One way from a host to another.
+    /// The link from one host to another, in that direction only.
     Cut(usize, usize),
-    /// Both ways between a domain and the others.
+    /// All links between a domain and the others, in both directions.
     CutDomain(usize),
     CutPlatform(usize),
     Heal,
@@ -41,15 +41,15 @@
     Slow(bool),
     Busy,
     Unresponsive(bool),
-    /// Watches lose track of what they watch; never mended.
+    /// Watches no longer follow their objects; never repaired.
     StuckWatches,
-    /// Reads give old content.
+    /// Reads return old content.
     Stale(bool),
-    /// The store comes back with the configuration before the last change.
+    /// The store is restored with the configuration from before the last change.
     Restore,
-    /// A host hears an old configuration from a peer that was away.
+    /// A host gets an old configuration from a peer that was away.
     Replay(usize),
-    /// A host hears an old word on a target.
+    /// A host gets an old mark of a target.
     OldMark(usize),
 }
 
@@ -82,7 +82,8 @@
     ]
 }
 
-/// A schedule: mostly short waits, so that faults meet, and some long enough for suspicion.
+/// A schedule: mostly short waits, so that faults overlap, and some long enough for hosts to be
+/// suspected.
 pub fn steps() -> impl Strategy<Value = Vec<Step>> {
     let wait = prop_oneof![6 => 0..800u64, 3 => 800..3_000u64, 1 => 8_000..15_000u64];
     let step = (op(), wait).prop_map(|(op, wait)| Step { op, wait: Ms(wait) });
--- a/crates/gossip/tests/schedules/oracle.rs
+++ b/crates/gossip/tests/schedules/oracle.rs
@@ -1,11 +1,12 @@
-//! What must hold, on a page.
+//! The oracle: runs a schedule and checks what must hold.
 //!
-//! At all times and on every host: the generations in force since its start only rise, and each
-//! was accepted by the platform; the words on a target only get newer. Within [`WHOLE`] after all is mended: every host holds the same
-//! configuration, not older than the platform's nor than any
-//! that a live host held; every host
-//! sees every other as alive; the last word on each target holds everywhere; poison marks are
-//! known to all; and each target is polled by exactly one host.
+//! At all times and on every host: the generations in force since its start only rise, each of them
+//! was accepted by the platform, and the marks of each target only get newer.
+//!
+//! Within [`SETTLE_MS`] after all faults are repaired: every host has the same configuration, which
+//! is not older than the platform's nor than any that a live host had; every host sees all others
+//! as alive; the newest mark of each target is known everywhere; poison marks are known to all; and
+//! each target is polled by exactly one host.
 
 use base::{Ms, Version};
 use gossip::{Announcement, Rules, Safeguard};
@@ -15,19 +16,19 @@
 
 use crate::op::{DOMAINS, HOSTS, Op, Step};
 
-/// Time in which a whole network must have settled: the longest wait after a failed call, a
-/// re-list, and the time to suspect a host and hear of it again.
+/// Time within which a repaired network must have settled: the longest retry delay, a full read,
+/// and the time to suspect a host and to learn that it is alive.
 pub const SETTLE_MS: Ms = Ms::secs(75);
 
 const SIZE: FleetSize = FleetSize { hosts: HOSTS, domains: DOMAINS, targets: 12, workspaces: 2 };
-/// The target that operators mark, the one that speaks for itself, the one in the list.
+/// The target that operators mark, the one that reports itself, and the one in the platform's list.
 const MARKED: &str = "target-0";
 const SELF_REPORTED: &str = "target-1";
 const LISTED: &str = "target-2";
 
 pub struct Run {
     mesh: Mesh,
-    /// By generation and change id, with the version that each was written at.
+    /// Accepted writes by generation and change id, with the version of each.
     accepted: BTreeMap<(u64, String), u64>,
     objects: Vec<Object>,
     changes: u64,
@@ -35,11 +36,11 @@
     listed: bool,
     poison: Vec<(u64, usize)>,
     old_mark: LeavingTarget,
-    /// When the word on each target was given that each host holds.
+    /// For each host and target, the `since_ms` of the mark that the host holds.
     marks: BTreeMap<(usize, &'static str), u64>,
 }
 
-/// Plays a schedule; `Err` says what didn't hold.
+/// Runs a schedule; `Err` says what didn't hold.
 pub fn play(steps: &[Step], disabled: Option<Safeguard>) -> Result<(), String> {
     let mut run = Run::new(disabled);
     run.apply();
@@ -81,7 +82,7 @@
         Some((object, fleet))
     }
 
-    /// Writes what comes after `base`; the platform decides whether it is accepted.
+    /// Writes the successor of `base`; the platform decides whether it is accepted.
     fn write(&mut self, base: &Option<(Object, FleetObject)>) -> bool {
         self.changes += 1;
         let change = format!("change-{}", self.changes);
@@ -114,7 +115,7 @@
             Op::Race => {
                 let base = self.current();
                 assert!(self.write(&base));
-                assert!(!self.write(&base), "the loser is told");
+                assert!(!self.write(&base), "the second write is refused");
             }
             Op::Operator(leaving) => {
                 self.marked = leaving;
@@ -188,7 +189,7 @@
         }
     }
 
-    /// What a host alone knew goes with it.
+    /// Forgets what only this host knew, as it is lost with the host.
     fn kill(&mut self, host: usize) {
         self.mesh.kill(host);
         self.poison.retain(|(_, origin)| *origin != host);
@@ -212,12 +213,12 @@
             for target in [MARKED, SELF_REPORTED, LISTED] {
                 let since = state.leaving_mark(target).map_or(0, |w| w.since_ms);
                 if self.marks.insert((host, target), since) > Some(since) {
-                    return Err(format!("host {host} went back to an older word on {target}"));
+                    return Err(format!("host {host} went back to an older mark of {target}"));
                 }
             }
             let Some(fleet) = state.fleet() else { continue };
             if !self.accepted.contains_key(&(fleet.generation, fleet.change.clone())) {
-                return Err(format!("host {host} holds what was never accepted"));
+                return Err(format!("host {host} has a configuration that was never accepted"));
             }
         }
         Ok(())
@@ -228,7 +229,7 @@
         fleet.map(|f| (f.generation, f.change.clone())).unwrap_or_default()
     }
 
-    /// Orders what hosts hold: a store that came back with old content accepts a generation twice,
+    /// Order of the configurations that hosts hold: a restored store may accept a generation twice,
     /// and then the later write counts.
     fn order(&self, held: (u64, String)) -> (u64, u64) {
         (held.0, self.accepted.get(&held).copied().unwrap_or_default())
@@ -292,7 +293,10 @@
                 }
             }
             if self.mesh.learned(host).live as usize != HOSTS / DOMAINS {
-                return Err(format!("host {host} told of {}", self.mesh.learned(host).live));
+                return Err(format!(
+                    "host {host} reports {} live hosts in its domain",
+                    self.mesh.learned(host).live
+                ));
             }
         }
         let polled: usize = (0..HOSTS).map(|h| self.mesh.state(h).unwrap().polled_targets()).sum();
--- a/crates/gossip/tests/spread.rs
+++ b/crates/gossip/tests/spread.rs
@@ -1,5 +1,4 @@
-//! Hosts of several sizes in virtual time: the configuration, leaving targets, poison marks and
-//! membership reach everyone.
+//! Fleets of several sizes in virtual time: the configuration and the membership reach all hosts.
 
 use base::{Ms, Version};
 use mesh::{FleetSize, Mesh, fleet_yaml, object, rules};
--- a/crates/mesh/src/calls.rs
+++ b/crates/mesh/src/calls.rs
@@ -1,4 +1,4 @@
-//! Calls of hosts to the platform and to targets.
+//! Simulated calls from hosts to the platform and to targets.
 
 use base::{Ms, TargetId, Version};
 use gossip::Event;
@@ -36,7 +36,7 @@
     pub(crate) fn read(&mut self, waiter: Waiter, result: Result<ObjectList, StoreError>) {
         let Waiter { host, run, call, kind, .. } = waiter;
         if result.is_ok() && !self.hosts[host].platform_reachable {
-            // The way was cut while the watch waited: its answer goes nowhere.
+            // The link was cut while the watch waited, so its answer is lost.
             return;
         }
         let event = Event::Listed { call, kind, result };
--- a/crates/mesh/src/fleet.rs
+++ b/crates/mesh/src/fleet.rs
@@ -1,4 +1,4 @@
-//! Configurations and hosts of any size.
+//! Builds settings and configurations for fleets of any size.
 
 use base::Ms;
 use gossip::Rules;
@@ -6,7 +6,7 @@
 use std::net::{IpAddr, Ipv4Addr, SocketAddr};
 use wire::{Audit, FleetObject};
 
-/// Sizes of a fleet.
+/// The size of a fleet.
 #[derive(Clone, Copy, Debug)]
 pub struct FleetSize {
     /// Entry hosts.
@@ -19,7 +19,7 @@
     pub workspaces: usize,
 }
 
-/// Bounds and identity of host `i`, with the settings' defaults.
+/// Identity and limits of host `i`, with the settings' defaults.
 pub fn rules(size: FleetSize, i: usize, seed: u64) -> Rules {
     let address = |i: usize| {
         SocketAddr::from((Ipv4Addr::new(10, 0, (i / 250) as u8, (i % 250) as u8 + 1), 7000))
@@ -40,7 +40,7 @@
     rules
 }
 
-/// A configuration of that size; `mark` tells changes apart.
+/// A configuration of the given size; `mark` makes each change distinct.
 pub fn fleet_yaml(size: FleetSize, mark: u64) -> String {
     let mut out = format!("deployment: mesh-{mark}\ncost_weight: 0.5\nregions:\n");
     for region in 0..2.min(size.domains) {
@@ -80,7 +80,7 @@
     out
 }
 
-/// The object of a configuration, with an audit record.
+/// The platform object of a configuration, with an audit record.
 pub fn object(generation: u64, change: &str, config: String, before: &[Audit]) -> FleetObject {
     let record = Audit {
         from: generation - 1,
--- a/crates/mesh/src/host.rs
+++ b/crates/mesh/src/host.rs
@@ -1,4 +1,4 @@
-//! One host of a mesh, what it learned and what it cost.
+//! One simulated host: its state, what it learned, and its traffic.
 
 use base::Ms;
 use gossip::{Event, Rules, State, Update};
@@ -8,32 +8,32 @@
 /// A target as polls see it.
 #[derive(Clone, Copy, Debug, Default)]
 pub struct Target {
-    /// Requests that it runs.
+    /// Running requests.
     pub running: u32,
-    /// Requests that wait.
+    /// Waiting requests.
     pub queued: u32,
-    /// What it says of itself.
+    /// Whether it reports itself as leaving.
     pub leaving: bool,
-    /// Polls so far.
+    /// Number of polls so far.
     pub polls: u64,
 }
 
-/// What one host learned, and when.
+/// What one host learned since its start, and when.
 #[derive(Clone, Debug, Default)]
 pub struct Learned {
-    /// Generations in force, in order.
+    /// Generations that came into force, in order, with time and deployment name.
     pub generations: Vec<(Ms, u64, String)>,
-    /// Targets, since when, and whether they are leaving.
+    /// By target: when the last update came, and whether the target is leaving.
     pub leaving: BTreeMap<String, (Ms, bool)>,
-    /// Poison marks.
+    /// Poison marks, with the time of the first update.
     pub poison: BTreeMap<u64, Ms>,
-    /// Loads of this domain's targets.
+    /// Number of updates with loads of this domain's targets.
     pub loads: u64,
-    /// Numbered events that it logged, with their subjects.
+    /// Numbered log events with their subjects.
     pub notes: Vec<(logs::Event, String)>,
-    /// Live hosts in the domain.
+    /// Number of live hosts in the domain.
     pub live: u32,
-    /// When the last load of each target was true.
+    /// When the last known load of each target was measured.
     pub load_at: BTreeMap<String, Ms>,
 }
 
@@ -60,28 +60,28 @@
     }
 }
 
-/// What a host sent, heard and spent.
+/// Traffic and processor time of a host.
 #[derive(Clone, Copy, Debug, Default)]
 pub struct Traffic {
     /// Bytes sent to other hosts.
     pub sent: u64,
-    /// Bytes from other hosts.
+    /// Bytes received from other hosts.
     pub heard: u64,
     /// Messages sent to other hosts, calls and answers.
     pub messages: u64,
-    /// Time in the reducer and the codec.
+    /// Processor time in the reducer and the codec.
     pub busy: Duration,
 }
 
 pub(crate) struct Slot {
     pub(crate) rules: Rules,
-    /// `None` while it is dead.
+    /// `None` while the host is dead.
     pub(crate) state: Option<State>,
-    /// Counts its starts; what was on the way to an earlier one is lost.
+    /// Number of starts. Messages on the way to an earlier run are lost.
     pub(crate) run: u64,
-    /// While paused: what came meanwhile.
+    /// While the host is paused: the events that have arrived since.
     pub(crate) deferred: Option<Vec<Event>>,
-    /// The tick that is planned.
+    /// Time of the scheduled tick.
     pub(crate) tick: Ms,
     pub(crate) platform_reachable: bool,
     pub(crate) learned: Learned,
--- a/crates/mesh/src/lib.rs
+++ b/crates/mesh/src/lib.rs
@@ -1,8 +1,8 @@
-//! Many hosts' real reducers of crate `gossip` in one thread and virtual time, over links, a
-//! platform and targets that are held in memory and fail on demand.
+//! Simulates many hosts in one thread and in virtual time. The hosts run the real reducers of crate
+//! `gossip`; links, platform and targets are kept in memory and fail on demand.
 //!
-//! For tests and measurements; nothing here is linked into the daemons. Fixed seeds give the same
-//! run.
+//! For tests and measurements only; nothing here is linked into the daemons. A fixed seed gives the
+//! same run each time.
 
 mod calls;
 mod fleet;
--- a/crates/mesh/src/mesh.rs
+++ b/crates/mesh/src/mesh.rs
@@ -1,4 +1,4 @@
-//! The hosts, what is on the way between them, and the clock.
+//! The simulation: hosts, messages in transit, and the virtual clock.
 
 use base::{Ms, Version};
 use conf::Plan;
@@ -14,13 +14,13 @@
 use crate::host::{Learned, Slot, Target, Traffic};
 use crate::platform::{Platform, Waiter};
 
-/// Silence after which a call to another host has failed, ms.
+/// Timeout of a call to another host, ms.
 const PEER_TIMEOUT_MS: Ms = Ms(500);
-/// One way within a failure domain, between them, and between regions, ms.
+/// One-way latency within a failure domain, between domains of one region, and between regions, ms.
 const SAME_DOMAIN_MS: Ms = Ms(1);
 const SAME_REGION_MS: Ms = Ms(2);
 const CROSS_REGION_MS: Ms = Ms(30);
-/// One way to the platform or a target, ms.
+/// One-way latency to the platform or a target, ms.
 pub(crate) const PLATFORM_LATENCY_MS: Ms = Ms(3);
 
 pub(crate) enum Scheduled {
@@ -44,16 +44,16 @@
     }
 }
 
-/// Many hosts in virtual time.
+/// Many simulated hosts in virtual time.
 pub struct Mesh {
     /// The platform.
     pub platform: Platform,
     /// Targets by name, as polls see them.
     pub targets: BTreeMap<String, Target>,
-    /// Whether bytes and processor time are measured.
+    /// Whether to measure bytes and processor time.
     pub measure: bool,
-    /// Whether each host parses and keeps a configuration of its own, as real ones do, which
-    /// takes time and memory; else one is shared.
+    /// Whether each host parses and stores a configuration of its own, as real hosts do, which
+    /// costs time and memory; otherwise all hosts share one.
     pub own_plans: bool,
     pub(crate) now: Ms,
     pub(crate) hosts: Vec<Slot>,
@@ -65,7 +65,7 @@
 }
 
 impl Mesh {
-    /// Hosts that aren't started yet.
+    /// Creates hosts that aren't started yet.
     pub fn new(rules: Vec<Rules>) -> Self {
         let host_by_address = rules.iter().enumerate().map(|(i, r)| (r.address, i)).collect();
         let slot = |rules| Slot {
@@ -93,27 +93,27 @@
         }
     }
 
-    /// The time.
+    /// The virtual time.
     pub fn now(&self) -> Ms {
         self.now
     }
 
-    /// How many hosts there are, dead ones included.
+    /// Number of hosts, including dead ones.
     pub fn len(&self) -> usize {
         self.hosts.len()
     }
 
-    /// Whether there are none.
+    /// Whether there are no hosts.
     pub fn is_empty(&self) -> bool {
         self.hosts.is_empty()
     }
 
-    /// Starts a host with nothing in memory, also one that runs.
+    /// Starts a host with empty memory; a running one is restarted.
     pub fn start(&mut self, host: usize) {
         self.start_behind(host, Ms::ZERO);
     }
 
-    /// Starts a host whose clock is `behind` when it starts.
+    /// Starts a host whose clock is late by `behind` when it starts.
     pub fn start_behind(&mut self, host: usize, behind: Ms) {
         let checker: Box<dyn Checker> = match self.own_plans {
             true => Box::new(Parser),
@@ -129,18 +129,18 @@
         self.feed(host, Event::Tick);
     }
 
-    /// Ends a host without warning.
+    /// Kills a host without warning.
     pub fn kill(&mut self, host: usize) {
         self.hosts[host].state = None;
         self.hosts[host].deferred = None;
     }
 
-    /// Stops a host in its place; what comes meanwhile waits.
+    /// Pauses a host; events that arrive meanwhile are queued.
     pub fn pause(&mut self, host: usize) {
         self.hosts[host].deferred.get_or_insert_default();
     }
 
-    /// Lets it go on.
+    /// Resumes a paused host.
     pub fn resume(&mut self, host: usize) {
         for event in self.hosts[host].deferred.take().unwrap_or_default() {
             self.feed(host, event);
@@ -148,12 +148,12 @@
         self.feed(host, Event::Tick);
     }
 
-    /// Cuts the way from one host to another, in that direction only.
+    /// Cuts the link from one host to another, in that direction only.
     pub fn cut(&mut self, from: usize, to: usize) {
         self.cuts.insert((from, to));
     }
 
-    /// Mends all cuts, also those to the platform.
+    /// Restores all links, including those to the platform.
     pub fn heal(&mut self) {
         self.cuts.clear();
         for slot in &mut self.hosts {
@@ -161,17 +161,17 @@
         }
     }
 
-    /// Whether a host reaches the platform.
+    /// Sets whether a host can reach the platform.
     pub fn set_platform_reachable(&mut self, host: usize, reachable: bool) {
         self.hosts[host].platform_reachable = reachable;
     }
 
-    /// Whether a host runs and isn't paused.
+    /// Whether a host is running and not paused.
     pub fn runs(&self, host: usize) -> bool {
         self.hosts[host].state.is_some() && self.hosts[host].deferred.is_none()
     }
 
-    /// A host's reducer, if it is alive.
+    /// A host's reducer, if the host is alive.
     pub fn state(&self, host: usize) -> Option<&State> {
         self.hosts[host].state.as_ref()
     }
@@ -181,12 +181,12 @@
         &self.hosts[host].learned
     }
 
-    /// What a host sent, heard and spent.
+    /// A host's traffic and processor time.
     pub fn traffic(&self, host: usize) -> Traffic {
         self.hosts[host].traffic
     }
 
-    /// Has a host tell the others something.
+    /// Has a host announce something to the others.
     pub fn announce(&mut self, host: usize, announcement: Announcement) {
         self.feed(host, Event::Announce(announcement));
     }
@@ -206,7 +206,7 @@
         Ok(version)
     }
 
-    /// Gives a peer's message to a host, as a late or doubled one would come.
+    /// Delivers a message from a peer to a host, as if it came late or twice.
     pub fn replay(&mut self, host: usize, exchange: Exchange) {
         self.feed(host, Event::Request { call: CallId(0), exchange: Box::new(exchange) });
     }
@@ -326,7 +326,7 @@
             Effect::Note { event, subject } => {
                 self.hosts[host].learned.notes.push((event, subject));
             }
-            // Carried out where the request is.
+            // A reply is handled where the request is; the view is read from the state.
             Effect::Reply { .. } | Effect::View => {}
         }
     }
@@ -353,7 +353,7 @@
         let started = Instant::now();
         let bytes = size(exchange) as u64;
         let traffic = &mut self.hosts[host].traffic;
-        // The far end reads what this one writes, at about the same cost.
+        // The receiver decodes what is encoded here, at about the same cost.
         traffic.busy += 2 * started.elapsed();
         traffic.sent += bytes;
         traffic.messages += 1;
@@ -410,7 +410,7 @@
                 effect => self.effect(dest, dest_run, effect),
             }
         }
-        // It may want to be woken sooner now.
+        // The next tick may now be due earlier.
         let slot = &mut self.hosts[dest];
         let wake = slot.state.as_ref().map_or(Ms::MAX, State::wake).max(now + Ms(1));
         if wake < slot.tick {
--- a/crates/mesh/src/platform.rs
+++ b/crates/mesh/src/platform.rs
@@ -1,4 +1,4 @@
-//! The platform's objects, in memory.
+//! The simulated platform: its objects, in memory, and its faults.
 
 use base::{Ms, Version};
 use gossip::{CallId, Kind};
@@ -6,22 +6,23 @@
 use store::StoreError;
 use wire::{Object, ObjectList};
 
-/// What the platform does wrong.
+/// Faults of the simulated platform.
 #[derive(Clone, Debug, Default)]
 pub struct Faults {
-    /// Answers no call, at once.
+    /// Every call fails at once.
     pub down: bool,
-    /// Time before each answer, ms.
+    /// Delay of each answer, ms.
     pub slow: Ms,
-    /// Asks to come back later.
+    /// Calls are refused as busy, with a time to retry after.
     pub busy: bool,
-    /// Watches wait out their time though something changed: they have lost track of it.
+    /// Watches time out without a result although something changed: they no longer follow their
+    /// objects.
     pub stuck_watches: bool,
     /// Calls are never answered, not even with an error.
     pub unresponsive: bool,
 }
 
-/// A watch that waits.
+/// A waiting watch.
 #[derive(Clone, Copy, Debug)]
 pub(crate) struct Waiter {
     pub(crate) host: usize,
@@ -31,12 +32,12 @@
     pub(crate) after: Version,
 }
 
-/// The objects and their faults.
+/// The platform's objects and faults.
 #[derive(Debug, Default)]
 pub struct Platform {
-    /// What it does wrong.
+    /// The faults in effect.
     pub faults: Faults,
-    /// Calls so far, a waiting watch counted once.
+    /// Number of calls so far; a waiting watch counts once.
     pub calls: u64,
     version: u64,
     objects: BTreeMap<(String, String), Object>,
@@ -45,7 +46,7 @@
 }
 
 impl Platform {
-    /// Writes if the object is at `expected`.
+    /// Writes an object if its version is `expected`.
     pub fn put(
         &mut self,
         kind: &str,
@@ -64,17 +65,17 @@
         Ok(Version(self.version))
     }
 
-    /// Reads the newest, whatever reads are told.
+    /// Returns the newest content, even while reads are frozen.
     pub fn get(&self, kind: &str, name: &str) -> Option<&Object> {
         self.objects.get(&(kind.to_owned(), name.to_owned()))
     }
 
-    /// From now on reads give the content as it is now; `false` ends it.
+    /// Freezes what reads return at the present content; `false` ends it.
     pub fn freeze(&mut self, frozen: bool) {
         self.frozen = frozen.then(|| self.objects.clone());
     }
 
-    /// Loses the newest write of an object: the store came back with old content.
+    /// Replaces an object by older content, as when the store is restored from a backup.
     pub fn restore(&mut self, object: Object) {
         self.objects.insert((object.kind.clone(), object.name.clone()), object);
     }
@@ -90,7 +91,7 @@
         ObjectList { version: newest.unwrap_or(after.0), objects }
     }
 
-    /// Watches that have something to tell now.
+    /// Removes and returns the watches that have a result now.
     pub(crate) fn ready(&mut self) -> Vec<(Waiter, ObjectList)> {
         if self.faults.stuck_watches {
             return Vec::new();
