--- a/crates/gossip/src/loads.rs
+++ b/crates/gossip/src/loads.rs
@@ -4,7 +4,7 @@
 //! domains, so its memory and traffic grow with its domain and not with the fleet. A load is sent
 //! when it has changed by an eighth or more. For each target this happens at most once in as many
 //! rounds as it takes to send the loads of all the domain's targets. A host that receives no loads
-//! for a while relies on the answers it gets itself.
+//! for a while relies on the answers to its own requests.
 
 use base::{DomainId, Ms, PoolId, TargetId, hash_parts};
 use conf::Plan;
@@ -15,7 +15,7 @@
 const STALE_MS: Ms = Ms::secs(10);
 /// An unchanged load is sent again after this time, ms.
 const REPEAT_MS: Ms = Ms::secs(5);
-/// A change smaller than the last sent load divided by this isn't sent.
+/// A change smaller than the last sent value divided by this isn't sent.
 const MIN_CHANGE_DIVISOR: u32 = 8;
 
 /// Hash that names a target in messages.
@@ -190,9 +190,9 @@
     }
 }
 
-/// The age in a message doesn't include its transit time, at each hop, so two reports of one target
-/// can be taken in the wrong order when they are closer together than that. This is harmless: the
-/// load is a hint, and it is then wrong by one poll.
+/// At each hop, the age in a message lacks the transit time. So two reports of one target can be
+/// taken in the wrong order when they are closer together than that. This is harmless: the load is
+/// a hint, and it is then wrong by one poll.
 fn merge_newer(record: &mut LoadRecord, load: &Load, now: Ms) -> Option<Ms> {
     let at = now - Ms(load.age_ms.into());
     let is_newer = at > record.measured_at && now - at < STALE_MS;
--- a/crates/gossip/src/round.rs
+++ b/crates/gossip/src/round.rs
@@ -84,7 +84,7 @@
             self.duties_stale = true;
         }
         if self.duties_stale {
-            // Forget calls from peers that are older than the suspicion time.
+            // Drop records of calls from peers that are older than the suspicion time.
             self.callers.retain(|_, at| now - *at < self.rules.suspect_ms);
         }
         if self.is_aggregator() {
--- a/crates/gossip/src/state.rs
+++ b/crates/gossip/src/state.rs
@@ -202,9 +202,9 @@
         CallId(self.calls)
     }
 
-    /// Moves the next round forward, for news that shouldn't wait. The round comes within a quarter
-    /// of the usual interval, and at most once in that time, so that many changes at once don't
-    /// cause unlimited traffic.
+    /// Moves the next round forward, for changes that shouldn't wait: to within a quarter of the
+    /// usual interval, and not twice in that time, so that many changes at once cause only limited
+    /// traffic.
     pub(crate) fn expedite_round(&mut self, now: Ms) {
         let quarter = self.rules.gossip_ms.scale(1, 4);
         let at = now.max(self.next_expedited);
