--- a/bins/siskinwheel-bench/src/fleet.rs
+++ b/bins/siskinwheel-bench/src/fleet.rs
@@ -5,7 +5,7 @@
 
 use anyhow::Result;
 use base::{Ms, Version};
-use mesh::{FleetSize, Mesh, Target, fleet_yaml, object, rules};
+use mesh::{FleetSize, Mesh, Target, fleet_yaml, host_config, object};
 use pico_args::Arguments;
 use rand::{RngExt, SeedableRng};
 use rand_chacha::ChaCha8Rng;
@@ -180,7 +180,7 @@
 
 fn started(hosts: usize, seed: u64, args: &Args, own_plans: bool) -> Mesh {
     let shape = shape(hosts, args);
-    let mut mesh = Mesh::new((0..hosts).map(|i| rules(shape, i, seed)).collect());
+    let mut mesh = Mesh::new((0..hosts).map(|i| host_config(shape, i, seed)).collect());
     mesh.own_plans = own_plans;
     for target in 0..args.targets {
         mesh.targets.insert(format!("target-{target}"), Target::default());
--- a/crates/gossip/src/rules.rs
+++ b/crates/gossip/src/config.rs
@@ -1,11 +1,11 @@
-//! Identity and limits of a node.
+//! Configuration of a node's gossip: its identity, intervals and limits.
 
 use base::{DomainId, HostId, Ms};
 use std::net::SocketAddr;
 
-/// A node's identity and limits, from the host's settings.
+/// A node's identity, intervals and limits, from the host's settings.
 #[derive(Clone, Debug)]
-pub struct Rules {
+pub struct GossipConfig {
     /// This host.
     pub host: HostId,
     /// Its failure domain.
@@ -66,7 +66,7 @@
     BlindHandover,
 }
 
-impl Rules {
+impl GossipConfig {
     /// Takes the values from the host's settings; `address` is the address that it actually listens
     /// at.
     pub fn new(settings: &conf::Settings, address: SocketAddr) -> Self {
--- a/crates/gossip/src/exchange.rs
+++ b/crates/gossip/src/exchange.rs
@@ -3,11 +3,11 @@
 use base::{Ms, TargetId};
 use wire::{CacheNote, Digest, Exchange, Member};
 
+use crate::config::Safeguard;
 use crate::event::Effect;
 use crate::fleet::{self, OfferOutcome};
 use crate::loads::target_id;
 use crate::members::Change;
-use crate::rules::Safeguard;
 use crate::rumors::{Topic, send_count};
 use crate::state::State;
 use crate::update::Update;
@@ -51,7 +51,7 @@
 
     /// Builds a message to a peer of `domain`, which is empty if it isn't known.
     pub(crate) fn message(&mut self, domain: &str, now: Ms) -> Exchange {
-        let same_domain = domain == self.rules.domain.as_str();
+        let same_domain = domain == self.config.domain.as_str();
         let mut out = Exchange { digest: Some(self.digest()), ..Exchange::default() };
         for topic in self.rumors.take(MAX_PULSES, |t| matches!(t, Topic::Pulse(_))) {
             let Topic::Pulse(host) = topic else { continue };
@@ -125,7 +125,7 @@
         let behind = theirs.generation < active.object.generation
             || theirs.generation == active.object.generation
                 && theirs.fleet_hash != fleet::fleet_hash(Some(active));
-        if !behind || !self.rules.is_enabled(Safeguard::Push) {
+        if !behind || !self.config.is_enabled(Safeguard::Push) {
             return false;
         }
         out.fleet_version = active.version;
@@ -220,7 +220,7 @@
         // With more targets than fit in one message, each load is sent less often. Otherwise the
         // last ones would never be sent.
         let rounds = self.loads.targets().div_ceil(MAX_LOADS) as u64;
-        let min_interval = Ms(self.rules.gossip_ms.0 * rounds);
+        let min_interval = Ms(self.config.gossip_ms.0 * rounds);
         if self.loads.record_polled(id, running, queued, now, min_interval) {
             self.rumors.start(Topic::Load(id), HINT_SENDS);
         }
@@ -246,7 +246,7 @@
         let flags = |m: &Member| (m.status, m.leaving);
         let known = self.members.get(&claim.host).map(flags);
         let dead = known.is_some_and(|(status, _)| status == i32::from(wire::HostStatus::Dead));
-        if dead && !self.rules.is_enabled(Safeguard::Refutation) {
+        if dead && !self.config.is_enabled(Safeguard::Refutation) {
             return;
         }
         let change = self.members.merge(claim, now);
@@ -266,11 +266,11 @@
                 self.rumors.start(Topic::Pulse(host()), if few { HINT_SENDS } else { full });
                 self.duties_stale = true;
             }
-            Change::Refuted if self.rules.is_enabled(Safeguard::Refutation) => {
+            Change::Refuted if self.config.is_enabled(Safeguard::Refutation) => {
                 self.rumors.start(Topic::Pulse(host()), HINT_SENDS);
             }
             Change::Refuted => {}
-            Change::NeedsRefutation if self.rules.is_enabled(Safeguard::Refutation) => {
+            Change::NeedsRefutation if self.config.is_enabled(Safeguard::Refutation) => {
                 self.members.update_self(|me| {
                     me.beat = me.beat.max(claim.beat + 1);
                     if claim.incarnation > me.incarnation {
--- a/crates/gossip/src/lib.rs
+++ b/crates/gossip/src/lib.rs
@@ -6,6 +6,7 @@
 //! the node only carries them out, so tests can run the same reducer in virtual time.
 
 mod caches;
+mod config;
 mod duties;
 mod event;
 mod exchange;
@@ -20,15 +21,14 @@
 mod reader;
 mod results;
 mod round;
-mod rules;
 mod rumors;
 mod state;
 mod update;
 
+pub use config::{GossipConfig, Safeguard};
 pub use event::{CallId, Effect, Event, Kind};
 pub use fleet::{Checker, Parser};
 pub use node::{FLEET_KIND, FLEET_NAME, Node, NodeConfig};
 pub use reader::{Counters, Reader};
-pub use rules::{Rules, Safeguard};
 pub use state::State;
 pub use update::{Announcement, Update};
--- a/crates/gossip/src/node.rs
+++ b/crates/gossip/src/node.rs
@@ -21,7 +21,7 @@
 
 use crate::event::{CallId, Effect, Event};
 use crate::reader::Reader;
-use crate::{Announcement, Parser, Rules, State, Update};
+use crate::{Announcement, GossipConfig, Parser, State, Update};
 
 /// Kind of the configuration object.
 pub const FLEET_KIND: &str = "fleet";
@@ -85,10 +85,11 @@
         let settings = &config.settings;
         let bound = BoundListener::bind(settings.peer).await?;
         let addr = bound.addr();
-        let rules = Rules { capacity: config.capacity, ..Rules::new(settings, addr) };
+        let gossip =
+            GossipConfig { capacity: config.capacity, ..GossipConfig::new(settings, addr) };
         let (updates, updates_rx) = mpsc::unbounded_channel();
         let (announcements, announcements_rx) = mpsc::unbounded_channel();
-        let state = State::new(rules, Box::new(Parser), clock.now());
+        let state = State::new(gossip, Box::new(Parser), clock.now());
         let shared = Arc::new(Shared {
             view: RwLock::new(state.view()),
             state: Mutex::new(state),
--- a/crates/gossip/src/platform.rs
+++ b/crates/gossip/src/platform.rs
@@ -10,8 +10,8 @@
 use std::collections::BTreeMap;
 use store::StoreError;
 
+use crate::config::{GossipConfig, Safeguard};
 use crate::event::{CallId, Kind};
-use crate::rules::{Rules, Safeguard};
 
 /// Wait of one watch, ms. A waiting watch counts as one call.
 const WATCH_MS: Ms = Ms::secs(10);
@@ -60,7 +60,7 @@
 }
 
 impl Platform {
-    pub(crate) fn new(now: Ms, rules: &Rules) -> Self {
+    pub(crate) fn new(now: Ms, config: &GossipConfig) -> Self {
         let reader = || KindReader {
             after: Version(0),
             list: true,
@@ -72,7 +72,7 @@
         Self {
             readers: Kind::ALL.into_iter().map(|kind| (kind, reader())).collect(),
             watching: false,
-            tokens: u64::from(rules.platform_calls) * 1000,
+            tokens: u64::from(config.platform_calls) * 1000,
             refilled_at: now,
             calls: 0,
         }
@@ -106,8 +106,8 @@
     }
 
     /// Calls without an answer in time; each counts as failed.
-    pub(crate) fn overdue(&mut self, now: Ms, rules: &Rules) -> Vec<(Kind, CallId)> {
-        if !rules.is_enabled(Safeguard::WatchBound) {
+    pub(crate) fn overdue(&mut self, now: Ms, config: &GossipConfig) -> Vec<(Kind, CallId)> {
+        if !config.is_enabled(Safeguard::WatchBound) {
             return Vec::new();
         }
         let late = |(kind, r): (&Kind, &KindReader)| match r.in_flight {
@@ -121,7 +121,7 @@
     pub(crate) fn due(
         &mut self,
         now: Ms,
-        rules: &Rules,
+        config: &GossipConfig,
         rng: &mut ChaCha8Rng,
         mut id: impl FnMut() -> CallId,
     ) -> Vec<(CallId, Kind, Call, Ms)> {
@@ -129,24 +129,24 @@
         if !self.watching {
             return out;
         }
-        self.refill(now, rules);
+        self.refill(now, config);
         for (kind, reader) in &mut self.readers {
             if reader.in_flight.is_some() || reader.next > now {
                 continue;
             }
             if self.tokens < 1000 {
-                reader.next = now + Ms(1000 / u64::from(rules.platform_calls) + 1);
+                reader.next = now + Ms(1000 / u64::from(config.platform_calls) + 1);
                 continue;
             }
             self.tokens -= 1000;
             self.calls += 1;
             let jitter = Ms(rng.random_range(0..RELIST_INTERVAL_MS.0 / 4));
-            let relist = rules.is_enabled(Safeguard::Relist)
+            let relist = config.is_enabled(Safeguard::Relist)
                 && now - reader.listed_at >= RELIST_INTERVAL_MS - jitter;
             reader.list |= relist;
             let (call, wait) = match reader.list {
-                true => (Call::List, rules.platform_ms),
-                false => (Call::Watch(reader.after), WATCH_MS + rules.watch_ms),
+                true => (Call::List, config.platform_ms),
+                false => (Call::Watch(reader.after), WATCH_MS + config.watch_ms),
             };
             let call_id = id();
             reader.in_flight = Some((call_id, now + wait));
@@ -163,7 +163,7 @@
         call: CallId,
         result: Result<Version, &StoreError>,
         now: Ms,
-        rules: &Rules,
+        config: &GossipConfig,
         rng: &mut ChaCha8Rng,
     ) -> bool {
         let Some(reader) = self.readers.get_mut(&kind) else { return false };
@@ -188,14 +188,14 @@
             Err(err) => {
                 reader.failures = reader.failures.saturating_add(1);
                 reader.list = true;
-                reader.next = now + retry_delay(err, reader.failures, rules, rng);
+                reader.next = now + retry_delay(err, reader.failures, config, rng);
             }
         }
         true
     }
 
-    fn refill(&mut self, now: Ms, rules: &Rules) {
-        let rate = u64::from(rules.platform_calls);
+    fn refill(&mut self, now: Ms, config: &GossipConfig) {
+        let rate = u64::from(config.platform_calls);
         self.tokens = (self.tokens + (now - self.refilled_at).0 * rate).min(rate * 1000);
         self.refilled_at = now;
     }
@@ -203,8 +203,8 @@
 
 /// Delay before the next call. Half of it is random: hosts that lost the platform together would
 /// otherwise all return together and overload a store that has just recovered.
-fn retry_delay(err: &StoreError, failures: u32, rules: &Rules, rng: &mut ChaCha8Rng) -> Ms {
-    if !rules.is_enabled(Safeguard::Backoff) {
+fn retry_delay(err: &StoreError, failures: u32, config: &GossipConfig, rng: &mut ChaCha8Rng) -> Ms {
+    if !config.is_enabled(Safeguard::Backoff) {
         return MIN_CALL_GAP_MS;
     }
     let doubled = FIRST_RETRY_MS.scale(1 << failures.min(10), 2).min(MAX_RETRY_MS);
--- a/crates/gossip/src/results.rs
+++ b/crates/gossip/src/results.rs
@@ -10,9 +10,9 @@
 };
 
 use crate::caches::MAX_HOPS;
+use crate::config::Safeguard;
 use crate::event::{CallId, Effect, Kind};
 use crate::loads::target_id;
-use crate::rules::Safeguard;
 use crate::rumors::Topic;
 use crate::state::State;
 
@@ -40,7 +40,7 @@
             Err(err) => Err(err),
         };
         let blind = self.platform.blind();
-        self.platform.ended(kind, call, seen, now, &self.rules, &mut self.rng);
+        self.platform.ended(kind, call, seen, now, &self.config, &mut self.rng);
         if blind != self.platform.blind() {
             self.platform_reachability_changed(!blind, out);
         }
@@ -63,7 +63,7 @@
     /// read.
     fn platform_reachability_changed(&mut self, blind: bool, out: &mut Vec<Effect>) {
         let event = if blind { Log::PlatformDown } else { Log::PlatformBack };
-        self.note(event, self.rules.host.to_string(), out);
+        self.note(event, self.config.host.to_string(), out);
         self.members.update_self(|me| me.blind = blind);
         let me = self.members.me().host.clone();
         self.rumors.start(Topic::Pulse(me), 4);
@@ -75,7 +75,7 @@
     /// serve to its callers, a configuration that has already been replaced. So it first waits for
     /// a peer's answer, for up to one round.
     fn fleet_read(&mut self, object: &Object, now: Ms, out: &mut Vec<Effect>) {
-        let wait = self.peer_wait_until.is_some() && self.rules.is_enabled(Safeguard::PeersFirst);
+        let wait = self.peer_wait_until.is_some() && self.config.is_enabled(Safeguard::PeersFirst);
         match serde_json::from_str::<FleetObject>(&object.body) {
             Ok(fleet) if wait && self.active.is_none() => {
                 self.deferred_config = Some((fleet, object.version));
@@ -112,11 +112,11 @@
         }
         self.hosts_version = object.version;
         self.hosts_list = list.hosts;
-        let own = self.rules.address;
+        let own = self.config.address;
         let plan = self.active.as_ref().map(|h| h.plan.clone());
         let target = |name: &str| plan.as_ref().is_some_and(|p| p.target(&name.into()).is_some());
         let listed = self.hosts_list.iter().filter(|e| !e.leaving && !target(&e.name));
-        let mut seeds = self.rules.seeds.clone();
+        let mut seeds = self.config.seeds.clone();
         seeds.extend(
             listed.filter_map(|e| e.address.parse::<SocketAddr>().ok()).filter(|a| *a != own),
         );
--- a/crates/gossip/src/round.rs
+++ b/crates/gossip/src/round.rs
@@ -8,10 +8,10 @@
 use store::StoreError;
 use wire::{Exchange, HostStatus, Member};
 
+use crate::config::Safeguard;
 use crate::event::{CallId, Effect};
 use crate::exchange::MAX_BEHIND;
 use crate::platform::Call;
-use crate::rules::Safeguard;
 use crate::rumors::{Topic, send_count};
 use crate::state::{PendingCall, State};
 
@@ -37,10 +37,10 @@
 impl State {
     /// Runs everything that is due.
     pub(crate) fn tick(&mut self, now: Ms, out: &mut Vec<Effect>) {
-        for (kind, call) in self.platform.overdue(now, &self.rules) {
+        for (kind, call) in self.platform.overdue(now, &self.config) {
             self.platform_answered(call, kind, Err(StoreError::Down), now, out);
         }
-        let (interval, timeout) = (self.rules.poll_ms, self.rules.target_ms);
+        let (interval, timeout) = (self.config.poll_ms, self.config.target_ms);
         for (target, address, since) in self.polls.due(now, interval, timeout) {
             out.push(Effect::Poll { target, address, since });
         }
@@ -49,7 +49,7 @@
             calls += 1;
             CallId(calls)
         };
-        let due = self.platform.due(now, &self.rules, &mut self.rng, next);
+        let due = self.platform.due(now, &self.config, &mut self.rng, next);
         self.calls = calls;
         for (call, kind, what, wait) in due {
             out.push(match what {
@@ -66,7 +66,7 @@
     }
 
     fn round(&mut self, now: Ms, out: &mut Vec<Effect>) {
-        let interval = self.rules.gossip_ms;
+        let interval = self.config.gossip_ms;
         let joining = self.joining(now);
         // Without jitter, hosts that started together would call at the same time for ever.
         let jitter = Ms(self.rng.random_range(0..=interval.0 / 5));
@@ -77,7 +77,7 @@
         self.next_expedited = now + interval.scale(1, 4);
         self.members.update_self(|_| ());
         self.poison.expire(now);
-        for host in self.members.expire(now, self.rules.suspect_ms) {
+        for host in self.members.expire(now, self.config.suspect_ms) {
             self.note(logs::Event::PeerLost, host.clone(), out);
             let full = send_count(self.members.alive().count());
             self.rumors.start(Topic::Pulse(host), full);
@@ -85,7 +85,7 @@
         }
         if self.duties_stale {
             // Drop records of calls from peers that are older than the suspicion time.
-            self.callers.retain(|_, at| now - *at < self.rules.suspect_ms);
+            self.callers.retain(|_, at| now - *at < self.config.suspect_ms);
         }
         if self.is_aggregator() {
             let domain = self.domain().clone();
@@ -125,7 +125,7 @@
     /// joining host instead runs some quick rounds and compares tables in each, so that what it
     /// knows grows as fast as the number of hosts that it has asked.
     fn joining(&self, now: Ms) -> bool {
-        now - self.started < Ms(self.rules.gossip_ms.0 * JOIN_ROUNDS)
+        now - self.started < Ms(self.config.gossip_ms.0 * JOIN_ROUNDS)
     }
 
     /// Runs one round immediately, for a host that is stopping: it may not live until the next.
@@ -144,7 +144,7 @@
     /// been in force for some rounds.
     fn behind(&mut self, now: Ms) -> Vec<u64> {
         let mine = self.members.me().generation;
-        if now - self.active_since < Ms(self.rules.gossip_ms.0 * BEHIND_ROUNDS) {
+        if now - self.active_since < Ms(self.config.gossip_ms.0 * BEHIND_ROUNDS) {
             return Vec::new();
         }
         let late = self.members.alive().filter(|m| m.generation < mine);
@@ -157,7 +157,7 @@
     /// whose last call failed once, for an immediate retry; and now and then a peer that is dead or
     /// known only by a seed address. `first` comes before all others.
     fn choose(&mut self, first: Option<&str>) -> Vec<PendingCall> {
-        let fanout = self.rules.fanout;
+        let fanout = self.config.fanout;
         let local_count = if self.remote_peers.is_empty() { fanout } else { fanout.div_ceil(2) };
         let remote_count = if self.local_peers.is_empty() { fanout } else { fanout - local_count };
         let mut hosts: Vec<String> =
@@ -196,7 +196,7 @@
     /// Dead hosts to call, so that the two sides of a partition find each other when it ends.
     /// Without these calls a partition would last until both sides restart.
     fn dead_to_call(&mut self) -> Vec<String> {
-        if !self.rules.is_enabled(Safeguard::Rejoin) {
+        if !self.config.is_enabled(Safeguard::Rejoin) {
             return Vec::new();
         }
         let dead: Vec<&Member> =
@@ -219,7 +219,7 @@
         let seed_round = self.rng.random_range(0..SEED_INTERVAL_ROUNDS) == 0;
         let most = match alone {
             true => MAX_REJOIN_CALLS,
-            false if seed_round && self.rules.is_enabled(Safeguard::Rejoin) => 1,
+            false if seed_round && self.config.is_enabled(Safeguard::Rejoin) => 1,
             false => return Vec::new(),
         };
         let known: Vec<&str> = self.members.alive().map(|m| m.address.as_str()).collect();
@@ -285,7 +285,7 @@
         *misses = misses.saturating_add(1);
         let misses = *misses;
         let calls_us =
-            self.callers.get(&to.host).is_some_and(|at| now - *at < self.rules.suspect_ms);
+            self.callers.get(&to.host).is_some_and(|at| now - *at < self.config.suspect_ms);
         match () {
             () if misses < SUSPECT_MISSES => {}
             () if calls_us && misses == SUSPECT_MISSES => {
--- a/crates/gossip/src/state.rs
+++ b/crates/gossip/src/state.rs
@@ -11,6 +11,7 @@
 use wire::{FleetObject, LeavingTarget, Member, PoisonMark};
 
 use crate::caches::Caches;
+use crate::config::{GossipConfig, Safeguard};
 use crate::event::{CallId, Effect, Event};
 use crate::fleet::{self, ActiveConfig, Checker, OfferOutcome};
 use crate::leaving::Leaving;
@@ -19,7 +20,6 @@
 use crate::platform::Platform;
 use crate::poison::Poison;
 use crate::polls::Polls;
-use crate::rules::{Rules, Safeguard};
 use crate::rumors::{Rumors, Topic, send_count};
 use crate::update::{Announcement, Update};
 
@@ -37,7 +37,7 @@
 
 /// The state of a node.
 pub struct State {
-    pub(crate) rules: Rules,
+    pub(crate) config: GossipConfig,
     pub(crate) rng: ChaCha8Rng,
     pub(crate) checker: Box<dyn Checker>,
     pub(crate) members: Members,
@@ -84,16 +84,16 @@
 
 impl State {
     /// Creates the state of a host that has just started.
-    pub fn new(rules: Rules, checker: Box<dyn Checker>, now: Ms) -> Self {
+    pub fn new(config: GossipConfig, checker: Box<dyn Checker>, now: Ms) -> Self {
         let me = Member {
-            host: rules.host.to_string(),
-            domain: rules.domain.to_string(),
-            address: rules.address.to_string(),
+            host: config.host.to_string(),
+            domain: config.domain.to_string(),
+            address: config.address.to_string(),
             incarnation: now.0,
-            capacity: rules.capacity,
+            capacity: config.capacity,
             ..Member::default()
         };
-        let seed = base::hash_parts(&[rules.host.as_str().as_bytes(), &rules.seed.to_le_bytes()]);
+        let seed = base::hash_parts(&[config.host.as_str().as_bytes(), &config.seed.to_le_bytes()]);
         Self {
             rng: ChaCha8Rng::seed_from_u64(seed ^ now.0),
             checker,
@@ -105,8 +105,8 @@
             loads: Loads::default(),
             caches: Caches::default(),
             polls: Polls::default(),
-            platform: Platform::new(now, &rules),
-            peer_wait_until: (!rules.seeds.is_empty()).then(|| now + rules.gossip_ms),
+            platform: Platform::new(now, &config),
+            peer_wait_until: (!config.seeds.is_empty()).then(|| now + config.gossip_ms),
             deferred_config: None,
             started: now,
             next_round: now,
@@ -122,11 +122,11 @@
             remote_peers: VecDeque::new(),
             misses: BTreeMap::new(),
             callers: BTreeMap::new(),
-            seeds: rules.seeds.clone(),
+            seeds: config.seeds.clone(),
             hosts_version: 0,
             hosts_list: Vec::new(),
             live: 0,
-            rules,
+            config,
         }
     }
 
@@ -206,7 +206,7 @@
     /// usual interval, and not twice in that time, so that many changes at once cause only limited
     /// traffic.
     pub(crate) fn expedite_round(&mut self, now: Ms) {
-        let quarter = self.rules.gossip_ms.scale(1, 4);
+        let quarter = self.config.gossip_ms.scale(1, 4);
         let at = now.max(self.next_expedited);
         self.next_round = self.next_round.min(at + Ms(quarter.0 / 4));
     }
@@ -220,7 +220,7 @@
         out: &mut Vec<Effect>,
     ) -> OfferOutcome {
         let generation = object.generation;
-        let reject_older = self.rules.is_enabled(Safeguard::GenerationFloor);
+        let reject_older = self.config.is_enabled(Safeguard::GenerationFloor);
         let offer =
             fleet::offer(&mut self.active, object, version, &mut *self.checker, reject_older);
         let event = match offer {
@@ -236,7 +236,7 @@
         if let (OfferOutcome::Taken | OfferOutcome::Replaced, Some(active)) = (offer, &self.active)
         {
             let plan = active.plan.clone();
-            self.loads.set_plan(&plan, &self.rules.domain);
+            self.loads.set_plan(&plan, &self.config.domain);
             self.members.update_self(|me| me.generation = generation);
             let me = self.members.me().host.clone();
             self.rumors.start(Topic::Pulse(me), 4);
@@ -251,7 +251,7 @@
     /// Merges a mark of a target.
     pub(crate) fn merge_leaving(&mut self, mark: &LeavingTarget, now: Ms, out: &mut Vec<Effect>) {
         let before = self.leaving.is_leaving(&mark.target);
-        if !self.leaving.merge(mark, self.rules.is_enabled(Safeguard::LeavingOrder)) {
+        if !self.leaving.merge(mark, self.config.is_enabled(Safeguard::LeavingOrder)) {
             return;
         }
         let full = send_count(self.members.alive().count());
--- a/crates/gossip/tests/faults.rs
+++ b/crates/gossip/tests/faults.rs
@@ -1,9 +1,9 @@
 //! Single faults in virtual time: what hosts or their callers see, and when it ends.
 
 use base::{Ms, Version};
-use gossip::{Announcement, Rules, Safeguard};
+use gossip::{Announcement, GossipConfig, Safeguard};
 use logs::Event as Log;
-use mesh::{FleetSize, Mesh, fleet_yaml, object, rules};
+use mesh::{FleetSize, Mesh, fleet_yaml, host_config, object};
 use wire::{Exchange, LeavingTarget};
 
 const SIX_HOSTS: FleetSize = FleetSize { hosts: 6, domains: 3, targets: 24, workspaces: 2 };
@@ -19,13 +19,13 @@
     mesh.put("fleet", "fleet", Version(version), body).unwrap();
 }
 
-fn started(change: impl Fn(&mut Rules)) -> Mesh {
-    let rules = (0..SIX_HOSTS.hosts).map(|i| {
-        let mut rules = rules(SIX_HOSTS, i, 1);
-        change(&mut rules);
-        rules
+fn started(change: impl Fn(&mut GossipConfig)) -> Mesh {
+    let configs = (0..SIX_HOSTS.hosts).map(|i| {
+        let mut config = host_config(SIX_HOSTS, i, 1);
+        change(&mut config);
+        config
     });
-    let mut mesh = Mesh::new(rules.collect());
+    let mut mesh = Mesh::new(configs.collect());
     for target in 0..SIX_HOSTS.targets {
         mesh.targets.insert(format!("target-{target}"), mesh::Target::default());
     }
@@ -123,7 +123,7 @@
 #[test]
 fn calls_in_an_outage_are_few() {
     let calls = |disabled| {
-        let mut mesh = started(|rules| rules.disabled = disabled);
+        let mut mesh = started(|config| config.disabled = disabled);
         mesh.platform.faults.down = true;
         let before = mesh.platform.calls;
         mesh.run(Ms::secs(60));
@@ -143,9 +143,9 @@
 #[test]
 fn a_blind_watcher_hands_on() {
     let in_force = |disabled| {
-        let mut mesh = started(|rules| {
-            rules.watchers = 1;
-            rules.disabled = disabled;
+        let mut mesh = started(|config| {
+            config.watchers = 1;
+            config.disabled = disabled;
         });
         let (a, b) = (1, 4);
         for host in [a, b] {
@@ -282,7 +282,7 @@
 #[test]
 fn a_host_that_restarts_before_a_stale_store_goes_by_its_peers() {
     let first = |disabled| {
-        let mut mesh = started(|rules| rules.disabled = disabled);
+        let mut mesh = started(|config| config.disabled = disabled);
         mesh.platform.freeze(true);
         let object = mesh.platform.get("fleet", "fleet").unwrap().version;
         mesh.put("fleet", "fleet", Version(object), fleet(2, "newer")).unwrap();
--- a/crates/gossip/tests/restart.rs
+++ b/crates/gossip/tests/restart.rs
@@ -2,7 +2,7 @@
 //! same live hosts, and so assign each duty to the same host.
 
 use base::Ms;
-use mesh::{FleetSize, Mesh, rules};
+use mesh::{FleetSize, Mesh, host_config};
 
 /// Time within which all hosts of a fleet are started, ms.
 const START_WINDOW: Ms = Ms(300);
@@ -10,11 +10,11 @@
 /// A fleet in which all hosts have the same three seeds.
 fn fleet(hosts: usize, seed: u64) -> Mesh {
     let size = FleetSize { hosts, domains: 6, targets: 24, workspaces: 5 };
-    let mut all: Vec<_> = (0..hosts).map(|i| rules(size, i, seed)).collect();
+    let mut all: Vec<_> = (0..hosts).map(|i| host_config(size, i, seed)).collect();
     let seeds: Vec<_> = all.iter().take(3).map(|r| r.address).collect();
-    for rules in &mut all {
-        rules.seeds = seeds.iter().copied().filter(|a| *a != rules.address).collect();
-        rules.suspect_ms = Ms::secs(3);
+    for config in &mut all {
+        config.seeds = seeds.iter().copied().filter(|a| *a != config.address).collect();
+        config.suspect_ms = Ms::secs(3);
     }
     Mesh::new(all)
 }
--- a/crates/gossip/tests/schedules/oracle.rs
+++ b/crates/gossip/tests/schedules/oracle.rs
@@ -9,8 +9,8 @@
 //! each target is polled by exactly one host.
 
 use base::{Ms, Version};
-use gossip::{Announcement, Rules, Safeguard};
-use mesh::{FleetSize, Mesh, fleet_yaml, object, rules};
+use gossip::{Announcement, GossipConfig, Safeguard};
+use mesh::{FleetSize, Mesh, fleet_yaml, host_config, object};
 use std::collections::BTreeMap;
 use wire::{Exchange, FleetObject, HostEntry, HostList, LeavingTarget, Object};
 
@@ -58,8 +58,9 @@
 
 impl Run {
     fn new(disabled: Option<Safeguard>) -> Self {
-        let rules = (0..HOSTS).map(|i| Rules { watchers: 1, disabled, ..rules(SIZE, i, 7) });
-        let mut mesh = Mesh::new(rules.collect());
+        let configs =
+            (0..HOSTS).map(|i| GossipConfig { watchers: 1, disabled, ..host_config(SIZE, i, 7) });
+        let mut mesh = Mesh::new(configs.collect());
         for target in 0..SIZE.targets {
             mesh.targets.insert(format!("target-{target}"), mesh::Target::default());
         }
--- a/crates/gossip/tests/spread.rs
+++ b/crates/gossip/tests/spread.rs
@@ -1,7 +1,7 @@
 //! Fleets of several sizes in virtual time: the configuration and the membership reach all hosts.
 
 use base::{Ms, Version};
-use mesh::{FleetSize, Mesh, fleet_yaml, object, rules};
+use mesh::{FleetSize, Mesh, fleet_yaml, host_config, object};
 
 fn size(hosts: usize) -> FleetSize {
     FleetSize { hosts, domains: if hosts > 20 { 8 } else { 3 }, targets: 24, workspaces: 5 }
@@ -17,7 +17,7 @@
 
 fn started(hosts: usize) -> (Mesh, FleetSize) {
     let size = size(hosts);
-    let mut mesh = Mesh::new((0..hosts).map(|i| rules(size, i, 1)).collect());
+    let mut mesh = Mesh::new((0..hosts).map(|i| host_config(size, i, 1)).collect());
     apply(&mut mesh, size, 1);
     for i in 0..hosts {
         mesh.start(i);
--- a/crates/mesh/src/fleet.rs
+++ b/crates/mesh/src/fleet.rs
@@ -1,7 +1,7 @@
 //! Builds settings and configurations for fleets of any size.
 
 use base::Ms;
-use gossip::Rules;
+use gossip::GossipConfig;
 use std::fmt::Write;
 use std::net::{IpAddr, Ipv4Addr, SocketAddr};
 use wire::{Audit, FleetObject};
@@ -20,7 +20,7 @@
 }
 
 /// Identity and limits of host `i`, with the settings' defaults.
-pub fn rules(size: FleetSize, i: usize, seed: u64) -> Rules {
+pub fn host_config(size: FleetSize, i: usize, seed: u64) -> GossipConfig {
     let address = |i: usize| {
         SocketAddr::from((Ipv4Addr::new(10, 0, (i / 250) as u8, (i % 250) as u8 + 1), 7000))
     };
@@ -33,11 +33,11 @@
         address(i)
     );
     let settings = conf::Settings::parse(&yaml).unwrap_or_else(|e| panic!("the settings: {e}"));
-    let mut rules = Rules::new(&settings, address(i));
+    let mut config = GossipConfig::new(&settings, address(i));
     let near = [1, 2, 3].map(|d| (i + d) % size.hosts);
-    rules.seeds = near.into_iter().filter(|j| *j != i).map(address).collect();
-    rules.seeds.dedup();
-    rules
+    config.seeds = near.into_iter().filter(|j| *j != i).map(address).collect();
+    config.seeds.dedup();
+    config
 }
 
 /// A configuration of the given size; `mark` makes each change distinct.
--- a/crates/mesh/src/host.rs
+++ b/crates/mesh/src/host.rs
@@ -1,7 +1,7 @@
 //! One simulated host: its state, what it learned, and its traffic.
 
 use base::Ms;
-use gossip::{Event, Rules, State, Update};
+use gossip::{Event, GossipConfig, State, Update};
 use std::collections::BTreeMap;
 use std::time::Duration;
 
@@ -74,7 +74,7 @@
 }
 
 pub(crate) struct Slot {
-    pub(crate) rules: Rules,
+    pub(crate) config: GossipConfig,
     /// `None` while the host is dead.
     pub(crate) state: Option<State>,
     /// Number of starts. Messages on the way to an earlier run are lost.
--- a/crates/mesh/src/lib.rs
+++ b/crates/mesh/src/lib.rs
@@ -10,7 +10,7 @@
 mod mesh;
 mod platform;
 
-pub use fleet::{FleetSize, fleet_yaml, object, rules};
+pub use fleet::{FleetSize, fleet_yaml, host_config, object};
 pub use host::{Learned, Target, Traffic};
 pub use mesh::Mesh;
 pub use platform::{Faults, Platform};
--- a/crates/mesh/src/mesh.rs
+++ b/crates/mesh/src/mesh.rs
@@ -2,7 +2,7 @@
 
 use base::{Ms, Version};
 use conf::Plan;
-use gossip::{Announcement, CallId, Checker, Effect, Event, Parser, Rules, State};
+use gossip::{Announcement, CallId, Checker, Effect, Event, GossipConfig, Parser, State};
 use peer::PeerError;
 use std::collections::{BTreeMap, HashMap, HashSet};
 use std::net::SocketAddr;
@@ -66,10 +66,10 @@
 
 impl Mesh {
     /// Creates hosts that aren't started yet.
-    pub fn new(rules: Vec<Rules>) -> Self {
-        let host_by_address = rules.iter().enumerate().map(|(i, r)| (r.address, i)).collect();
-        let slot = |rules| Slot {
-            rules,
+    pub fn new(configs: Vec<GossipConfig>) -> Self {
+        let host_by_address = configs.iter().enumerate().map(|(i, r)| (r.address, i)).collect();
+        let slot = |config| Slot {
+            config,
             state: None,
             run: 0,
             deferred: None,
@@ -84,7 +84,7 @@
             measure: false,
             own_plans: false,
             now: Ms::secs(1_000_000),
-            hosts: rules.into_iter().map(slot).collect(),
+            hosts: configs.into_iter().map(slot).collect(),
             host_by_address,
             cuts: HashSet::new(),
             queue: BTreeMap::new(),
@@ -124,7 +124,7 @@
         slot.run += 1;
         slot.deferred = None;
         slot.learned = Learned::default();
-        slot.state = Some(State::new(slot.rules.clone(), checker, now));
+        slot.state = Some(State::new(slot.config.clone(), checker, now));
         slot.tick = Ms::MAX;
         self.feed(host, Event::Tick);
     }
@@ -332,7 +332,7 @@
     }
 
     fn latency(&self, a: usize, b: usize) -> Ms {
-        let (a, b) = (&self.hosts[a].rules.domain, &self.hosts[b].rules.domain);
+        let (a, b) = (&self.hosts[a].config.domain, &self.hosts[b].config.domain);
         let region = |d: &str| d.bytes().last().unwrap_or_default() % 2;
         match () {
             () if a == b => SAME_DOMAIN_MS,
