--- a/crates/gossip/src/loads.rs
+++ b/crates/gossip/src/loads.rs
@@ -119,7 +119,7 @@
     }
 
     /// Records a load that this host polled. Returns true if it is to be sent, which happens at
-    /// most once in `round` unless the resend interval has passed.
+    /// most once in `round` for a changed load.
     pub(crate) fn record_polled(
         &mut self,
         id: u32,
--- a/crates/gossip/tests/faults.rs
+++ b/crates/gossip/tests/faults.rs
@@ -129,8 +129,8 @@
         mesh.run(Ms::secs(60));
         mesh.platform.calls - before
     };
-    // Six hosts read three kinds each. After some seconds, each of these is read every 2.5 s at
-    // most.
+    // Six hosts read three kinds each. After some seconds of backoff, each kind is read once in 2.5
+    // s at most.
     let bound = 6 * 3 * (60 * 2 / 5 + 6);
     assert!(calls(None) < bound, "{}", calls(None));
     assert!(calls(Some(Safeguard::Backoff)) > bound);
@@ -206,7 +206,7 @@
     }
 }
 
-/// A host that stops gets no more work from its peers, as it announces that it is leaving at once.
+/// A host that stops gets no more work from its peers, as it announces at once that it is leaving.
 #[test]
 fn a_host_that_stops_leaves_the_view() {
     let mut mesh = started(|_| ());
--- a/crates/peer/src/client.rs
+++ b/crates/peer/src/client.rs
@@ -22,8 +22,8 @@
 use crate::{PeerError, Peers, StagePeers};
 
 /// A connection without a call for this long isn't reused, ms. A device between the two ends may
-/// have dropped its state, and the first call on it would be lost. A host calls each of 400 peers
-/// only every few minutes, so most connections are closed between calls.
+/// have lost track of the connection, and the first call on it would be lost. A host calls each of
+/// 400 peers only every few minutes, so most connections are closed between calls.
 const MAX_IDLE_MS: Ms = Ms::secs(15);
 
 /// Time within which a pooled connection shows that its far end has restarted, ms: a round trip
@@ -37,7 +37,7 @@
 /// the far end has closed isn't reused, and a call that breaks at once on a pooled connection is
 /// sent once more on a new one. This is safe because every call may be repeated.
 ///
-/// A connection whose state was dropped by a device on the path goes silent for good, while new
+/// A connection that a device on the path has lost track of goes silent for good, while new
 /// connections work. So a call that times out drops its pooled connection, and the next call opens
 /// another.
 pub struct PeerClient {
