--- a/crates/gossip/src/leaving.rs
+++ b/crates/gossip/src/leaving.rs
@@ -1,16 +1,17 @@
-//! Targets that are leaving, whoever said so first.
+//! Marks of targets that are leaving, from all sources.
 //!
-//! Of two words on one target the one with the higher `since_ms` wins on every host, so all end
-//! with the same. A word is only taken back by the source that gave it, or by an operator.
+//! Of two marks of one target, every host keeps the one with the higher `since_ms`, so all hosts
+//! converge on the same mark. A mark can be revoked only by the source that set it, or by an
+//! operator.
 
 use base::{Ms, hash_parts};
 use std::collections::BTreeMap;
 use wire::{LeavingSource, LeavingTarget};
 
-/// Most targets that are kept; the fleet has 600.
-const MOST: usize = 4096;
+/// Most marks that are stored; the fleet has 600 targets.
+const MAX_MARKS: usize = 4096;
 
-/// The marks.
+/// The newest mark of each target.
 #[derive(Debug, Default)]
 pub(crate) struct Leaving {
     marks: BTreeMap<String, LeavingTarget>,
@@ -22,12 +23,13 @@
 }
 
 impl Leaving {
-    /// Takes a mark. True when it is newer than what was known.
-    pub(crate) fn merge(&mut self, mark: &LeavingTarget, ordered: bool) -> bool {
+    /// Stores a mark. Returns true if it changes what was known. With `newest_wins` off, older
+    /// marks replace newer ones as well.
+    pub(crate) fn merge(&mut self, mark: &LeavingTarget, newest_wins: bool) -> bool {
         match self.marks.get(&mark.target) {
             Some(known) if known == mark => return false,
-            Some(known) if ordered && rank(mark) <= rank(known) => return false,
-            None if self.marks.len() >= MOST => return false,
+            Some(known) if newest_wins && rank(mark) <= rank(known) => return false,
+            None if self.marks.len() >= MAX_MARKS => return false,
             _ => {}
         }
         self.marks.insert(mark.target.clone(), mark.clone());
@@ -42,8 +44,8 @@
         self.marks.get(target)
     }
 
-    /// Whether the target is leaving.
-    pub(crate) fn leaves(&self, target: &str) -> bool {
+    /// Whether the target is marked as leaving.
+    pub(crate) fn is_leaving(&self, target: &str) -> bool {
         self.get(target).is_some_and(|m| m.leaving)
     }
 
@@ -56,21 +58,22 @@
         self.hash
     }
 
-    /// What the target's own word adds: a mark to spread, if any.
-    pub(crate) fn own(&self, target: &str, leaving: bool, now: Ms) -> Option<LeavingTarget> {
+    /// The new mark that follows from the target's own report, if any.
+    pub(crate) fn own_mark(&self, target: &str, leaving: bool, now: Ms) -> Option<LeavingTarget> {
         let known = self.get(target);
-        let taken_back = known.is_some_and(|m| m.leaving && m.source() == LeavingSource::Own);
+        let revocable = known.is_some_and(|m| m.leaving && m.source() == LeavingSource::Own);
         match leaving {
-            true if !self.leaves(target) => {}
-            false if taken_back => {}
+            true if !self.is_leaving(target) => {}
+            false if revocable => {}
             _ => return None,
         }
-        Some(self.mark(target, leaving, LeavingSource::Own, 0, now))
+        Some(self.new_mark(target, leaving, LeavingSource::Own, 0, now))
     }
 
-    /// What an entry of the platform's list at `version` adds. An entry that is no longer leaving
-    /// takes back what an earlier version of the list said, and nothing else.
-    pub(crate) fn listed(
+    /// The new mark that follows from an entry of the platform's list at `version`, if any. An
+    /// entry that is no longer leaving revokes only a mark that came from an earlier version of the
+    /// list.
+    pub(crate) fn listed_mark(
         &self,
         target: &str,
         leaving: bool,
@@ -78,18 +81,18 @@
         now: Ms,
     ) -> Option<LeavingTarget> {
         let known = self.get(target);
-        let taken_back = known.is_some_and(|m| {
+        let revocable = known.is_some_and(|m| {
             m.leaving && m.source() == LeavingSource::Listed && m.version < version
         });
         match leaving {
-            true if !self.leaves(target) => {}
-            false if taken_back => {}
+            true if !self.is_leaving(target) => {}
+            false if revocable => {}
             _ => return None,
         }
-        Some(self.mark(target, leaving, LeavingSource::Listed, version, now))
+        Some(self.new_mark(target, leaving, LeavingSource::Listed, version, now))
     }
 
-    fn mark(
+    fn new_mark(
         &self,
         target: &str,
         leaving: bool,
@@ -97,7 +100,7 @@
         version: u64,
         now: Ms,
     ) -> LeavingTarget {
-        // Another host's clock may be ahead; the new word must still win.
+        // The known mark may come from a host whose clock is ahead; the new mark must still win.
         let since = self.get(target).map_or(0, |m| m.since_ms + 1).max(now.0);
         LeavingTarget {
             target: target.to_owned(),
--- a/crates/gossip/src/learn.rs
+++ b/crates/gossip/src/results.rs
@@ -1,4 +1,4 @@
-//! What the platform's objects and the targets' own reports say.
+//! Handles the results of platform reads and of polls of targets.
 
 use base::{Ms, TargetId, Version, hash_parts};
 use logs::Event as Log;
@@ -9,21 +9,22 @@
     Object, ObjectList,
 };
 
-use crate::caches::HOPS;
+use crate::caches::MAX_HOPS;
+use crate::config::Safeguard;
 use crate::event::{CallId, Effect, Kind};
 use crate::loads::target_id;
-use crate::rules::Safeguard;
 use crate::rumors::Topic;
 use crate::state::State;
 
-/// Name of the platform's list.
+/// Name of the object that holds the platform's list of hosts and targets.
 const HOSTS_NAME: &str = "hosts";
-/// Cache events of one poll that are passed on; the rest are only used here.
-const PASSED_ON: usize = 32;
+/// Most cache events of one poll that are forwarded to peers; the others are only used on this
+/// host.
+const MAX_FORWARDED_EVENTS: usize = 32;
 
 impl State {
-    /// A read or watch of the platform ended.
-    pub(crate) fn listed(
+    /// Handles the end of a read or watch of the platform.
+    pub(crate) fn platform_answered(
         &mut self,
         call: CallId,
         kind: Kind,
@@ -39,11 +40,11 @@
             Err(err) => Err(err),
         };
         let blind = self.platform.blind();
-        self.platform.ended(kind, call, seen, now, &self.rules, &mut self.rng);
+        self.platform.ended(kind, call, seen, now, &self.config, &mut self.rng);
         if blind != self.platform.blind() {
-            self.sight(!blind, out);
+            self.platform_reachability_changed(!blind, out);
         }
-        // A late answer is as good as any: what it holds is ordered by its own versions.
+        // A late answer is still used: its objects are ordered by their own versions.
         for object in result.iter().flat_map(|list| &list.objects) {
             match kind {
                 Kind::Fleet if object.name == crate::FLEET_NAME => {
@@ -56,36 +57,39 @@
         }
     }
 
-    /// The platform can't be reached from here any more, or can again. While it can't, another
-    /// host of the domain watches: or a domain whose two watchers lost the platform, and which is
-    /// cut off from the other domains, would miss what its other hosts could read.
-    fn sight(&mut self, blind: bool, out: &mut Vec<Effect>) {
+    /// Handles the loss or the return of the platform. While a host can't reach it, another host of
+    /// the domain watches instead. Otherwise a domain that is cut off from the other domains, and
+    /// whose two watchers have lost the platform, would miss changes that its other hosts could
+    /// read.
+    fn platform_reachability_changed(&mut self, blind: bool, out: &mut Vec<Effect>) {
         let event = if blind { Log::PlatformDown } else { Log::PlatformBack };
-        self.note(event, self.rules.host.to_string(), out);
-        self.members.beat(|me| me.blind = blind);
+        self.note(event, self.config.host.to_string(), out);
+        self.members.update_self(|me| me.blind = blind);
         let me = self.members.me().host.clone();
         self.rumors.start(Topic::Pulse(me), 4);
-        self.regroup = true;
+        self.duties_stale = true;
     }
 
-    /// A host that has just started has nothing to compare with: from a store that gives old
-    /// answers it would take back, for its callers, what was in force before. So it hears a peer
-    /// first, if one answers within a round.
+    /// Handles a configuration read from the platform. A host that has just started has no
+    /// configuration to compare it with. From a store that returns stale data it would load, and
+    /// serve to its callers, a configuration that has already been replaced. So it first waits for
+    /// a peer's answer, for up to one round.
     fn fleet_read(&mut self, object: &Object, now: Ms, out: &mut Vec<Effect>) {
-        let wait = self.peers_first.is_some() && self.rules.keeps(Safeguard::PeersFirst);
+        let wait = self.peer_wait_until.is_some() && self.config.is_enabled(Safeguard::PeersFirst);
         match serde_json::from_str::<FleetObject>(&object.body) {
-            Ok(fleet) if wait && self.held.is_none() => {
-                self.waiting = Some((fleet, object.version));
+            Ok(fleet) if wait && self.active.is_none() => {
+                self.deferred_config = Some((fleet, object.version));
             }
             Ok(fleet) => drop(self.offer(fleet, object.version, now, out)),
             Err(_) => self.note(Log::ConfigRefused, format!("version {}", object.version), out),
         }
     }
 
-    /// A peer answered, or none did in time: what the platform gave counts now.
-    pub(crate) fn peers_heard(&mut self, now: Ms, out: &mut Vec<Effect>) {
-        self.peers_first = None;
-        if let Some((fleet, version)) = self.waiting.take() {
+    /// Ends the wait for a peer's answer and uses the configuration that the platform gave
+    /// meanwhile.
+    pub(crate) fn end_peer_wait(&mut self, now: Ms, out: &mut Vec<Effect>) {
+        self.peer_wait_until = None;
+        if let Some((fleet, version)) = self.deferred_config.take() {
             self.offer(fleet, version, now, out);
         }
     }
@@ -98,7 +102,7 @@
             version: object.version,
             ..mark
         };
-        self.mark(&mark, now, out);
+        self.merge_leaving(&mark, now, out);
     }
 
     fn hosts_read(&mut self, object: &Object, now: Ms, out: &mut Vec<Effect>) {
@@ -106,33 +110,33 @@
         if Version(object.version) <= self.list_version() {
             return;
         }
-        self.listed = object.version;
-        self.list = list.hosts;
-        let own = self.rules.address;
-        let plan = self.held.as_ref().map(|h| h.plan.clone());
+        self.hosts_version = object.version;
+        self.hosts_list = list.hosts;
+        let own = self.config.address;
+        let plan = self.active.as_ref().map(|h| h.plan.clone());
         let target = |name: &str| plan.as_ref().is_some_and(|p| p.target(&name.into()).is_some());
-        let listed = self.list.iter().filter(|e| !e.leaving && !target(&e.name));
-        let mut seeds = self.rules.seeds.clone();
+        let listed = self.hosts_list.iter().filter(|e| !e.leaving && !target(&e.name));
+        let mut seeds = self.config.seeds.clone();
         seeds.extend(
             listed.filter_map(|e| e.address.parse::<SocketAddr>().ok()).filter(|a| *a != own),
         );
         seeds.sort();
         seeds.dedup();
         self.seeds = seeds;
-        // Names of hosts are left out: a host says itself when it stops.
+        // Entries of hosts are skipped: a host itself announces that it stops.
         let marks: Vec<LeavingTarget> = self
-            .list
+            .hosts_list
             .iter()
             .filter(|e| self.members.get(&e.name).is_none())
-            .filter_map(|e| self.leaving.listed(&e.name, e.leaving, object.version, now))
+            .filter_map(|e| self.leaving.listed_mark(&e.name, e.leaving, object.version, now))
             .collect();
         for mark in marks {
-            self.mark(&mark, now, out);
+            self.merge_leaving(&mark, now, out);
         }
     }
 
-    /// A poll of a target ended.
-    pub(crate) fn reported(
+    /// Handles the end of a poll of a target.
+    pub(crate) fn poll_ended(
         &mut self,
         target: &TargetId,
         report: Option<LoadReport>,
@@ -141,26 +145,26 @@
         out: &mut Vec<Effect>,
     ) {
         self.polls.ended(target, events.as_ref().map(|e| e.next));
-        // Another target may have taken over the address.
+        // Another target may now use the address.
         let own = |name: &str| name.is_empty() || name == target.as_str();
         if let Some(report) = report.filter(|r| own(&r.target)) {
-            self.polled(target, report.running, report.queued, now, out);
-            if let Some(mark) = self.leaving.own(target.as_str(), report.leaving, now) {
-                self.mark(&mark, now, out);
+            self.load_polled(target, report.running, report.queued, now, out);
+            if let Some(mark) = self.leaving.own_mark(target.as_str(), report.leaving, now) {
+                self.merge_leaving(&mark, now, out);
             }
         }
         let Some(events) = events.filter(|e| own(&e.target)) else { return };
         let id = target_id(target.as_str());
-        let first = events.events.len().saturating_sub(PASSED_ON);
+        let first = events.events.len().saturating_sub(MAX_FORWARDED_EVENTS);
         for (i, event) in events.events.iter().enumerate() {
             let note = CacheNote {
                 target: id,
                 seq: event.seq,
                 prefix: hash_parts(&[event.prefix.as_bytes()]).max(1),
                 stored: event.stored,
-                hops: if i >= first { HOPS } else { 0 },
+                hops: if i >= first { MAX_HOPS } else { 0 },
             };
-            self.cached(&note, out);
+            self.merge_cache_event(&note, out);
         }
     }
 }
--- a/crates/gossip/tests/schedules/op.rs
+++ b/crates/gossip/tests/schedules/op.rs
@@ -1,4 +1,4 @@
-//! What happens to a small fleet, as data.
+//! Events and faults that a schedule applies to a small fleet.
 
 use base::Ms;
 use proptest::prelude::*;
@@ -6,7 +6,7 @@
 pub const HOSTS: usize = 6;
 pub const DOMAINS: usize = 3;
 
-/// One thing that happens, and how long the fleet runs after it.
+/// One event, and how long the fleet runs after it.
 #[derive(Clone, Debug)]
 pub struct Step {
     pub op: Op,
@@ -19,38 +19,38 @@
     Apply,
     /// Two operators read the same generation and both write; the second one's write is refused.
     Race,
-    /// An operator marks a target, or takes the mark back.
+    /// An operator marks a target as leaving, or revokes the mark.
     Operator(bool),
-    /// A target says of itself that it is leaving, or not.
+    /// A target reports itself as leaving, or no longer.
     Own(bool),
-    /// The platform's list says so of a target.
+    /// The platform's list shows a target as leaving, or no longer.
     Listed(bool),
-    /// A host gives up on a request.
+    /// A host gives up on a request and marks it as poison.
     Poison(usize),
     Kill(usize),
     Start(usize),
     Pause(usize),
     Resume(usize),
-    /// One way from a host to another.
+    /// The link from one host to another, in that direction only.
     Cut(usize, usize),
-    /// Both ways between a domain and the others.
+    /// All links between a domain and the others, in both directions.
     CutDomain(usize),
     CutPlatform(usize),
-    Mend,
+    Heal,
     Down(bool),
     Slow(bool),
     Busy,
-    Mute(bool),
-    /// Watches lose track of what they watch; never mended.
-    Deaf,
-    /// Reads give old content.
+    Unresponsive(bool),
+    /// Watches no longer follow their objects; never repaired.
+    StuckWatches,
+    /// Reads return old content.
     Stale(bool),
-    /// The store comes back with the configuration before the last change.
+    /// The store is restored with the configuration from before the last change.
     Restore,
-    /// A host hears an old configuration from a peer that was away.
+    /// A host gets an old configuration from a peer that was away.
     Replay(usize),
-    /// A host hears an old word on a target.
-    OldWord(usize),
+    /// A host gets an old mark of a target.
+    OldMark(usize),
 }
 
 fn op() -> impl Strategy<Value = Op> {
@@ -69,20 +69,21 @@
         2 => (host(), host()).prop_map(|(a, b)| Op::Cut(a, b)),
         2 => (0..DOMAINS).prop_map(Op::CutDomain),
         2 => host().prop_map(Op::CutPlatform),
-        2 => Just(Op::Mend),
+        2 => Just(Op::Heal),
         2 => any::<bool>().prop_map(Op::Down),
         1 => any::<bool>().prop_map(Op::Slow),
         1 => Just(Op::Busy),
-        1 => any::<bool>().prop_map(Op::Mute),
-        1 => Just(Op::Deaf),
+        1 => any::<bool>().prop_map(Op::Unresponsive),
+        1 => Just(Op::StuckWatches),
         2 => any::<bool>().prop_map(Op::Stale),
         1 => Just(Op::Restore),
         2 => host().prop_map(Op::Replay),
-        1 => host().prop_map(Op::OldWord),
+        1 => host().prop_map(Op::OldMark),
     ]
 }
 
-/// A schedule: mostly short waits, so that faults meet, and some long enough for suspicion.
+/// A schedule: mostly short waits, so that faults overlap, and some long enough for hosts to be
+/// suspected.
 pub fn steps() -> impl Strategy<Value = Vec<Step>> {
     let wait = prop_oneof![6 => 0..800u64, 3 => 800..3_000u64, 1 => 8_000..15_000u64];
     let step = (op(), wait).prop_map(|(op, wait)| Step { op, wait: Ms(wait) });
