--- a/bins/siskinwheel-bench/src/journal/leased.rs
+++ b/bins/siskinwheel-bench/src/journal/leased.rs
@@ -5,7 +5,7 @@
 
 use async_trait::async_trait;
 use base::{Clock, HostId, Ms, Version};
-use journal::{Claim, Granted, Journal, JournalError, Outcome, Sharded, ShardedConfig};
+use journal::{Claim, ClaimResult, Journal, JournalError, Outcome, Sharded, ShardedConfig};
 use peer::{Peers, Serves, View, ViewHost};
 use std::sync::Arc;
 use store::Api;
@@ -90,12 +90,12 @@
 
 #[async_trait]
 impl Journal for Leased {
-    async fn register(&self, claim: &Claim) -> Granted {
-        let Some(holder) = self.holder().await else { return Granted::Unavailable };
+    async fn register(&self, claim: &Claim) -> ClaimResult {
+        let Some(holder) = self.holder().await else { return ClaimResult::Unavailable };
         if holder == self.me {
             return self.log.register(claim).await;
         }
-        let Some(to) = self.address(&holder) else { return Granted::Unavailable };
+        let Some(to) = self.address(&holder) else { return ClaimResult::Unavailable };
         let message = wire::Claim {
             workspace: claim.workspace.to_string(),
             key: claim.key.to_string(),
@@ -103,14 +103,16 @@
             host: self.me.to_string(),
             incarnation: 1,
         };
-        let Ok(grant) = self.peers.claim(to, message).await else { return Granted::Unavailable };
+        let Ok(grant) = self.peers.claim(to, message).await else {
+            return ClaimResult::Unavailable;
+        };
         match (grant.kind(), grant.answer) {
-            (GrantKind::Granted, _) => Granted::Granted,
-            (GrantKind::Answered, Some(answer)) => Granted::Answered(answer),
-            (GrantKind::Running, _) => Granted::Running,
-            (GrantKind::Unavailable, _) => Granted::Unavailable,
-            (GrantKind::Expired, _) => Granted::Expired,
-            (GrantKind::Answered | GrantKind::GrantUnknown, _) => Granted::Unknown,
+            (GrantKind::Granted, _) => ClaimResult::Granted,
+            (GrantKind::Answered, Some(answer)) => ClaimResult::Answered(answer),
+            (GrantKind::Running, _) => ClaimResult::Running,
+            (GrantKind::Unavailable, _) => ClaimResult::Unavailable,
+            (GrantKind::Expired, _) => ClaimResult::Expired,
+            (GrantKind::Answered | GrantKind::GrantUnknown, _) => ClaimResult::Unknown,
         }
     }
 
--- a/bins/siskinwheel-bench/src/journal/load.rs
+++ b/bins/siskinwheel-bench/src/journal/load.rs
@@ -3,7 +3,7 @@
 use super::world::{Calls, Design, World};
 use base::{Key, Ms, RequestId, WorkspaceId};
 use hdrhistogram::Histogram;
-use journal::{Claim, Granted, Journal, Outcome};
+use journal::{Claim, ClaimResult, Journal, Outcome};
 use rand::{RngExt, SeedableRng};
 use rand_chacha::ChaCha8Rng;
 use std::collections::HashMap;
@@ -156,7 +156,7 @@
             let granted = self.world.journals[first].register(&self.claim(key)).await;
             let mut state = self.lock();
             state.replays.0 += 1;
-            state.replays.1 += u64::from(matches!(granted, Granted::Answered(_)));
+            state.replays.1 += u64::from(matches!(granted, ClaimResult::Answered(_)));
             return;
         }
         if again {
@@ -260,18 +260,18 @@
     }
 
     /// Takes note of an answer. True when the attempt runs.
-    fn told(&mut self, host: usize, at: Option<Instant>, granted: &Granted, key: Key) -> bool {
+    fn told(&mut self, host: usize, at: Option<Instant>, granted: &ClaimResult, key: Key) -> bool {
         if self.dead == Some(host) {
             return false;
         }
-        let runs = *granted == Granted::Granted;
+        let runs = *granted == ClaimResult::Granted;
         if runs {
             *self.runs.entry(key).or_default() += 1;
         }
         let Some(at) = at.filter(|_| self.counts) else { return runs };
         let took = at.elapsed();
         let tenths = took.as_micros() as u64 / 100;
-        let refused = *granted == Granted::Unavailable;
+        let refused = *granted == ClaimResult::Unavailable;
         match refused {
             true => self.refusals.saturating_record(tenths),
             false => self.grants.saturating_record(tenths),
--- a/crates/entry/src/effects.rs
+++ b/crates/entry/src/effects.rs
@@ -2,7 +2,7 @@
 
 use base::{Attempt, Ms, RequestId, TargetId};
 use gossip::Tell;
-use journal::{Claim, Granted, JournalError, Outcome};
+use journal::{Claim, ClaimResult, JournalError, Outcome};
 use logs::note;
 use policy::{Effect, Ending, Event, Grant, Refusal, Verdict};
 use std::sync::atomic::Ordering;
@@ -113,7 +113,7 @@
 
     /// Takes the journal's answer. A grant whose request was answered meanwhile, because its
     /// deadline passed, is never used; it is given back, or the key would seem to run for ever.
-    fn registered(&self, request: RequestId, granted: Granted) -> Option<Outcome> {
+    fn registered(&self, request: RequestId, granted: ClaimResult) -> Option<Outcome> {
         let mut state = self.lock();
         let (grant, replay) = grant(granted);
         let unused = grant == Grant::Granted && !state.open.contains_key(&request);
@@ -197,13 +197,13 @@
     Some(Claim { workspace: open.workspace.clone(), key: open.key?, attempt: request })
 }
 
-fn grant(granted: Granted) -> (Grant, Option<Answer>) {
+fn grant(granted: ClaimResult) -> (Grant, Option<Answer>) {
     match granted {
-        Granted::Granted => (Grant::Granted, None),
-        Granted::Answered(answer) => (Grant::Answered, Some(answer)),
-        Granted::Running => (Grant::Running, None),
-        Granted::Unknown => (Grant::Unknown, None),
-        Granted::Unavailable => (Grant::Unavailable, None),
-        Granted::Expired => (Grant::Expired, None),
+        ClaimResult::Granted => (Grant::Granted, None),
+        ClaimResult::Answered(answer) => (Grant::Answered, Some(answer)),
+        ClaimResult::Running => (Grant::Running, None),
+        ClaimResult::Unknown => (Grant::Unknown, None),
+        ClaimResult::Unavailable => (Grant::Unavailable, None),
+        ClaimResult::Expired => (Grant::Expired, None),
     }
 }
--- a/crates/entry/tests/sim/mutation.rs
+++ b/crates/entry/tests/sim/mutation.rs
@@ -3,7 +3,7 @@
 use async_trait::async_trait;
 use base::Ms;
 use bytes::Bytes;
-use journal::{Claim, Granted, Journal, JournalError, Outcome};
+use journal::{Claim, ClaimResult, Journal, JournalError, Outcome};
 use policy::{Effect, Event, Reducer};
 use wire::{Piece, StageCall, StageReply};
 
@@ -88,8 +88,8 @@
 
 #[async_trait]
 impl Journal for Grants {
-    async fn register(&self, _: &Claim) -> Granted {
-        Granted::Granted
+    async fn register(&self, _: &Claim) -> ClaimResult {
+        ClaimResult::Granted
     }
 
     async fn finish(&self, _: &Claim, _: Outcome) -> Result<(), JournalError> {
--- a/crates/journal/src/book.rs
+++ b/crates/journal/src/book.rs
@@ -4,7 +4,7 @@
 use std::collections::BTreeMap;
 use wire::{Answer, Record, RecordState, Shard};
 
-use crate::{Claim, Granted, Outcome};
+use crate::{Claim, ClaimResult, Outcome};
 
 /// Largest shard object, bytes; the platform holds values up to a megabyte.
 pub(crate) const VALUE_BYTES: usize = 1_000_000;
@@ -37,7 +37,7 @@
     /// Another attempt holds it, and hasn't ended as far as is recorded.
     Started { by: Holder, at: Ms },
     /// It ended: answered or unknown.
-    Ended(Granted),
+    Ended(ClaimResult),
 }
 
 /// How recording an outcome went.
@@ -100,8 +100,8 @@
                 by: Holder { host: record.host.clone(), incarnation: record.incarnation },
                 at: Ms(record.at_ms),
             },
-            (RecordState::Done, Some(answer)) => Look::Ended(Granted::Answered(answer.clone())),
-            (RecordState::Done | RecordState::Lost, _) => Look::Ended(Granted::Unknown),
+            (RecordState::Done, Some(answer)) => Look::Ended(ClaimResult::Answered(answer.clone())),
+            (RecordState::Done | RecordState::Lost, _) => Look::Ended(ClaimResult::Unknown),
         }
     }
 
--- a/crates/journal/src/direct.rs
+++ b/crates/journal/src/direct.rs
@@ -6,7 +6,7 @@
 use store::{Api, Change, StoreError, Written};
 use wire::{Answer, Object, Record, RecordState};
 
-use crate::{Claim, Granted, Journal, JournalError, Outcome};
+use crate::{Claim, ClaimResult, Journal, JournalError, Outcome};
 
 /// Kind of the records' objects.
 const KIND: &str = "once";
@@ -65,24 +65,24 @@
 
 #[async_trait]
 impl Journal for Direct {
-    async fn register(&self, claim: &Claim) -> Granted {
+    async fn register(&self, claim: &Claim) -> ClaimResult {
         if self.expired(claim.key) {
-            return Granted::Expired;
+            return ClaimResult::Expired;
         }
         let record = self.record(claim, RecordState::Started, None);
         let mut expected = Version(0);
         for _ in 0..2 {
             match self.write(claim, expected, &record).await {
-                Ok(Written::Done(_)) => return Granted::Granted,
-                Ok(Written::Open) | Err(_) => return Granted::Unavailable,
-                Ok(Written::Lost { now: None }) => return Granted::Unavailable,
+                Ok(Written::Done(_)) => return ClaimResult::Granted,
+                Ok(Written::Open) | Err(_) => return ClaimResult::Unavailable,
+                Ok(Written::Lost { now: None }) => return ClaimResult::Unavailable,
                 Ok(Written::Lost { now: Some(object) }) => match held(&object, claim.attempt) {
                     Held::Free => expected = Version(object.version),
                     Held::Taken(granted) => return granted,
                 },
             }
         }
-        Granted::Running
+        ClaimResult::Running
     }
 
     async fn finish(&self, claim: &Claim, outcome: Outcome) -> Result<(), JournalError> {
@@ -111,19 +111,19 @@
 
 enum Held {
     Free,
-    Taken(Granted),
+    Taken(ClaimResult),
 }
 
 fn held(object: &Object, attempt: RequestId) -> Held {
-    let Some(record) = parse(object) else { return Held::Taken(Granted::Unknown) };
+    let Some(record) = parse(object) else { return Held::Taken(ClaimResult::Unknown) };
     match (record.state(), record.answer) {
         (RecordState::Released, _) => Held::Free,
         (RecordState::Started, _) if record.attempt == attempt.to_string() => {
-            Held::Taken(Granted::Granted)
+            Held::Taken(ClaimResult::Granted)
         }
-        (RecordState::Started, _) => Held::Taken(Granted::Running),
-        (RecordState::Done, Some(answer)) => Held::Taken(Granted::Answered(answer)),
-        (RecordState::Done | RecordState::Lost, _) => Held::Taken(Granted::Unknown),
+        (RecordState::Started, _) => Held::Taken(ClaimResult::Running),
+        (RecordState::Done, Some(answer)) => Held::Taken(ClaimResult::Answered(answer)),
+        (RecordState::Done | RecordState::Lost, _) => Held::Taken(ClaimResult::Unknown),
     }
 }
 
--- a/crates/journal/src/journal.rs
+++ b/crates/journal/src/journal.rs
@@ -19,7 +19,7 @@
 
 /// What became of a claim.
 #[derive(Clone, Debug, PartialEq)]
-pub enum Granted {
+pub enum ClaimResult {
     /// This attempt, and no other, may run.
     Granted,
     /// It ran; this is the kept answer.
@@ -49,7 +49,7 @@
 #[async_trait]
 pub trait Journal: Send + Sync {
     /// Claims a key. Asked again with the same attempt, it gives the same grant.
-    async fn register(&self, claim: &Claim) -> Granted;
+    async fn register(&self, claim: &Claim) -> ClaimResult;
 
     /// Records how a granted attempt ended.
     async fn finish(&self, claim: &Claim, outcome: Outcome) -> Result<(), JournalError>;
--- a/crates/journal/src/lib.rs
+++ b/crates/journal/src/lib.rs
@@ -17,6 +17,6 @@
 
 pub use direct::Direct;
 pub use error::JournalError;
-pub use journal::{Claim, Granted, Journal, Outcome};
+pub use journal::{Claim, ClaimResult, Journal, Outcome};
 pub use sharded::{Sharded, ShardedConfig};
 pub use writer::SHARD_KIND;
--- a/crates/journal/src/message.rs
+++ b/crates/journal/src/message.rs
@@ -4,7 +4,7 @@
 use wire::{Finish, Grant, GrantKind, RecordState};
 
 use crate::op::Claimed;
-use crate::{Claim, Granted, Outcome};
+use crate::{Claim, ClaimResult, Outcome};
 
 /// Reads a claim as it crosses the wire.
 pub(crate) fn claim(claim: &wire::Claim) -> Option<Claim> {
@@ -17,24 +17,24 @@
 
 pub(crate) fn grant(claimed: Claimed) -> Grant {
     let (kind, answer) = match claimed.granted {
-        Granted::Granted => (GrantKind::Granted, None),
-        Granted::Answered(answer) => (GrantKind::Answered, Some(answer)),
-        Granted::Running => (GrantKind::Running, None),
-        Granted::Unknown => (GrantKind::GrantUnknown, None),
-        Granted::Unavailable => (GrantKind::Unavailable, None),
-        Granted::Expired => (GrantKind::Expired, None),
+        ClaimResult::Granted => (GrantKind::Granted, None),
+        ClaimResult::Answered(answer) => (GrantKind::Answered, Some(answer)),
+        ClaimResult::Running => (GrantKind::Running, None),
+        ClaimResult::Unknown => (GrantKind::GrantUnknown, None),
+        ClaimResult::Unavailable => (GrantKind::Unavailable, None),
+        ClaimResult::Expired => (GrantKind::Expired, None),
     };
     Grant { kind: kind.into(), answer, open: claimed.open }
 }
 
 pub(crate) fn claimed(grant: Grant) -> Claimed {
     let granted = match (grant.kind(), grant.answer) {
-        (GrantKind::Granted, _) => Granted::Granted,
-        (GrantKind::Answered, Some(answer)) => Granted::Answered(answer),
-        (GrantKind::Answered, None) | (GrantKind::GrantUnknown, _) => Granted::Unknown,
-        (GrantKind::Running, _) => Granted::Running,
-        (GrantKind::Unavailable, _) => Granted::Unavailable,
-        (GrantKind::Expired, _) => Granted::Expired,
+        (GrantKind::Granted, _) => ClaimResult::Granted,
+        (GrantKind::Answered, Some(answer)) => ClaimResult::Answered(answer),
+        (GrantKind::Answered, None) | (GrantKind::GrantUnknown, _) => ClaimResult::Unknown,
+        (GrantKind::Running, _) => ClaimResult::Running,
+        (GrantKind::Unavailable, _) => ClaimResult::Unavailable,
+        (GrantKind::Expired, _) => ClaimResult::Expired,
     };
     Claimed { granted, open: grant.open }
 }
--- a/crates/journal/src/op.rs
+++ b/crates/journal/src/op.rs
@@ -4,19 +4,19 @@
 use tokio::sync::oneshot;
 
 use crate::book::Holder;
-use crate::{Claim, Granted, JournalError, Outcome};
+use crate::{Claim, ClaimResult, JournalError, Outcome};
 
 /// What became of a claim, and whether its record may still be made.
 #[derive(Clone, Debug, PartialEq)]
 pub(crate) struct Claimed {
-    pub(crate) granted: Granted,
+    pub(crate) granted: ClaimResult,
     /// A write that holds the claim was sent and its outcome is open.
     pub(crate) open: bool,
 }
 
 impl Claimed {
     pub(crate) const fn refused(open: bool) -> Self {
-        Self { granted: Granted::Unavailable, open }
+        Self { granted: ClaimResult::Unavailable, open }
     }
 }
 
@@ -65,7 +65,7 @@
 #[derive(Clone, Debug, PartialEq)]
 pub(crate) enum Fate {
     /// A claim's answer.
-    Claimed(Granted),
+    Claimed(ClaimResult),
     /// A finish's answer.
     Finished(Result<(), JournalError>),
     /// An abandoned claim can't be made any more.
--- a/crates/journal/src/sharded.rs
+++ b/crates/journal/src/sharded.rs
@@ -19,7 +19,7 @@
 use crate::op::{Claimed, Op, OpKind};
 use crate::shared::Shared;
 use crate::writer::Writer;
-use crate::{Claim, Granted, Journal, JournalError, Outcome};
+use crate::{Claim, ClaimResult, Journal, JournalError, Outcome};
 
 /// How long an outcome is tried to be recorded before its caller is told that it isn't.
 const FINISH_KEEP: Ms = Ms::secs(60);
@@ -163,13 +163,13 @@
     async fn claim(&self, claim: &Claim) -> Claimed {
         let (asked, to) = self.ask_writers(claim).await;
         let (wait, open) = match asked {
-            Some(Claimed { granted: Granted::Unavailable, open }) => (self.hop_ms(), open),
+            Some(Claimed { granted: ClaimResult::Unavailable, open }) => (self.hop_ms(), open),
             Some(claimed) => return claimed,
             None => (self.shared.rules.claim_ms, false),
         };
         let own = self.start(claim, self.shared.me.clone(), wait).await;
         // The writer couldn't, and this host can: the writer is cut off from the platform.
-        if let Some(to) = to.filter(|_| own.granted != Granted::Unavailable) {
+        if let Some(to) = to.filter(|_| own.granted != ClaimResult::Unavailable) {
             self.avoid(&to.host);
         }
         Claimed { open: open || own.open, ..own }
@@ -183,7 +183,7 @@
             let Some(to) = self.preferred(self.shard(claim), Errand::Claim) else { break };
             let claimed = self.ask(claim, &to).await;
             open |= claimed.open;
-            let refused = claimed.granted == Granted::Unavailable;
+            let refused = claimed.granted == ClaimResult::Unavailable;
             asked = Some(Claimed { open, ..claimed });
             if !refused || !self.lock().avoid.contains_key(&to.host) {
                 return (asked, Some(to));
@@ -282,13 +282,13 @@
 
 #[async_trait]
 impl Journal for Sharded {
-    async fn register(&self, claim: &Claim) -> Granted {
+    async fn register(&self, claim: &Claim) -> ClaimResult {
         if self.expired(claim.key) {
-            return Granted::Expired;
+            return ClaimResult::Expired;
         }
         let Claimed { granted, open } = self.claim(claim).await;
         // A write that was sent for it may land after whatever was read since.
-        if open && !matches!(granted, Granted::Granted | Granted::Answered(_)) {
+        if open && !matches!(granted, ClaimResult::Granted | ClaimResult::Answered(_)) {
             self.abandon(claim);
         }
         granted
--- a/crates/journal/src/weigh.rs
+++ b/crates/journal/src/weigh.rs
@@ -5,7 +5,7 @@
 use crate::book::{Book, Look, Put};
 use crate::op::{Fate, Op, OpKind};
 use crate::shared::Shared;
-use crate::{Granted, JournalError, Outcome};
+use crate::{ClaimResult, JournalError, Outcome};
 
 /// What the records would be after all ops, and how each op would fare.
 pub(crate) struct Weighed {
@@ -28,7 +28,7 @@
 
 /// Whether later records can't change this answer, so that no fresh read is needed.
 pub(crate) fn settled(fate: &Fate) -> bool {
-    matches!(fate, Fate::Claimed(Granted::Answered(_) | Granted::Expired))
+    matches!(fate, Fate::Claimed(ClaimResult::Answered(_) | ClaimResult::Expired))
 }
 
 /// Applies one op to the records.
@@ -39,9 +39,9 @@
             Some(fate) => return fate,
             None if book.start(&op.claim, &op.by, now) => {
                 *changed = true;
-                return Fate::Claimed(Granted::Granted);
+                return Fate::Claimed(ClaimResult::Granted);
             }
-            None => return Fate::Claimed(Granted::Unavailable),
+            None => return Fate::Claimed(ClaimResult::Unavailable),
         },
         OpKind::Finish(Outcome::Released, _) | OpKind::Abandon => {
             book.abandon(&op.claim, &op.by, now)
@@ -64,11 +64,11 @@
 pub(crate) fn told(shared: &Shared, book: &Book, op: &Op) -> Option<Fate> {
     let granted = match book.look(&op.claim) {
         Look::Free => return None,
-        Look::Mine => Granted::Granted,
-        Look::Abandoned => Granted::Unavailable,
-        Look::Forgotten => Granted::Expired,
-        Look::Started { by, at } if shared.running(&by, at) => Granted::Running,
-        Look::Started { .. } => Granted::Unknown,
+        Look::Mine => ClaimResult::Granted,
+        Look::Abandoned => ClaimResult::Unavailable,
+        Look::Forgotten => ClaimResult::Expired,
+        Look::Started { by, at } if shared.running(&by, at) => ClaimResult::Running,
+        Look::Started { .. } => ClaimResult::Unknown,
         Look::Ended(granted) => granted,
     };
     Some(Fate::Claimed(granted))
--- a/crates/journal/src/writer.rs
+++ b/crates/journal/src/writer.rs
@@ -6,7 +6,7 @@
 use tokio::sync::mpsc;
 use tokio::time::{Instant, sleep_until, timeout};
 
-use crate::Granted;
+use crate::ClaimResult;
 use crate::book::{Book, Look};
 use crate::layout::Agreed;
 use crate::op::{Fate, Op, OpKind};
@@ -309,7 +309,7 @@
                 Err(Round::Again)
             }
             Err(StoreError::Doubt) => {
-                let granted = |fate: &Fate| *fate == Fate::Claimed(Granted::Granted);
+                let granted = |fate: &Fate| *fate == Fate::Claimed(ClaimResult::Granted);
                 let ops = self.queue.iter_mut().zip(fates);
                 for (op, _) in ops.filter(|(_, fate)| granted(fate)) {
                     op.open = Some(expected);
--- a/crates/journal/tests/cases.rs
+++ b/crates/journal/tests/cases.rs
@@ -4,7 +4,7 @@
 
 use base::{Key, Ms, RequestId, WorkspaceId};
 use conf::JournalSettings;
-use journal::{Claim, Granted, Journal, Outcome, SHARD_KIND, Sharded};
+use journal::{Claim, ClaimResult, Journal, Outcome, SHARD_KIND, Sharded};
 use sim::world::{Host, World};
 use std::sync::Arc;
 use wire::Answer;
@@ -27,7 +27,7 @@
 }
 
 async fn done(journal: &Sharded, claim: &Claim, bytes: usize) {
-    assert_eq!(journal.register(claim).await, Granted::Granted);
+    assert_eq!(journal.register(claim).await, ClaimResult::Granted);
     let answer = Answer { output: "x".repeat(bytes), ..Answer::default() };
     journal.finish(claim, Outcome::Done(answer)).await.expect("recorded");
 }
@@ -52,8 +52,8 @@
     for claim in &claims {
         told.push(host.journal.register(&again(claim)).await);
     }
-    assert!(told[..4].iter().all(|t| *t == Granted::Unknown), "{:?}", &told[0]);
-    assert!(told[4..].iter().all(|t| matches!(t, Granted::Answered(_))), "{:?}", &told[4]);
+    assert!(told[..4].iter().all(|t| *t == ClaimResult::Unknown), "{:?}", &told[0]);
+    assert!(told[4..].iter().all(|t| matches!(t, ClaimResult::Answered(_))), "{:?}", &told[4]);
     let bytes = world.store.all(SHARD_KIND).objects.iter().map(|o| o.body.len()).max();
     assert!(bytes.is_some_and(|b| b <= 1_000_000), "{bytes:?}");
 }
@@ -67,16 +67,16 @@
     let claims: Vec<_> = (1..=6_000).map(|key| claim(&world, key, key)).collect();
     let tried = claims.iter().map(|claim| host.journal.register(claim));
     let granted = futures::future::join_all(tried).await;
-    let fitting = granted.iter().filter(|g| **g == Granted::Granted).count();
-    let refused = granted.iter().filter(|g| **g == Granted::Unavailable).count();
+    let fitting = granted.iter().filter(|g| **g == ClaimResult::Granted).count();
+    let refused = granted.iter().filter(|g| **g == ClaimResult::Unavailable).count();
     assert_eq!(fitting + refused, claims.len());
     assert!((4_000..5_500).contains(&fitting), "{fitting} keys fitted");
     let first = host.journal.register(&again(&claims[0])).await;
-    assert_eq!(first, Granted::Running);
+    assert_eq!(first, ClaimResult::Running);
     // Once the window has passed there is room again.
     tokio::time::sleep(Ms::secs(700).duration()).await;
-    assert_eq!(host.journal.register(&claim(&world, 1, 1)).await, Granted::Granted);
-    assert_eq!(host.journal.register(&again(&claims[0])).await, Granted::Expired);
+    assert_eq!(host.journal.register(&claim(&world, 1, 1)).await, ClaimResult::Granted);
+    assert_eq!(host.journal.register(&again(&claims[0])).await, ClaimResult::Expired);
 }
 
 #[tokio::test(start_paused = true)]
@@ -85,7 +85,7 @@
     let host = host(&world, &JournalSettings { answer_bytes: 100, ..rules() });
     let claim = claim(&world, 1, 1);
     done(&host.journal, &claim, 200).await;
-    assert_eq!(host.journal.register(&again(&claim)).await, Granted::Unknown);
+    assert_eq!(host.journal.register(&again(&claim)).await, ClaimResult::Unknown);
 }
 
 #[tokio::test(start_paused = true)]
@@ -95,11 +95,11 @@
     let world = World::new(1, 1, None);
     let host = host(&world, &rules());
     let claim = claim(&world, 1, 1);
-    assert_eq!(host.journal.register(&claim).await, Granted::Granted);
-    assert_eq!(host.journal.register(&claim).await, Granted::Granted, "the same attempt");
-    assert_eq!(host.journal.register(&again(&claim)).await, Granted::Running);
+    assert_eq!(host.journal.register(&claim).await, ClaimResult::Granted);
+    assert_eq!(host.journal.register(&claim).await, ClaimResult::Granted, "the same attempt");
+    assert_eq!(host.journal.register(&again(&claim)).await, ClaimResult::Running);
     tokio::time::sleep(rules().running_ms.duration()).await;
-    assert_eq!(host.journal.register(&again(&claim)).await, Granted::Unknown);
+    assert_eq!(host.journal.register(&again(&claim)).await, ClaimResult::Unknown);
 }
 
 #[tokio::test(start_paused = true)]
@@ -108,11 +108,11 @@
     // more, so waiting for it makes no sense: `unknown` at once.
     let world = World::new(1, 1, None);
     let first = claim(&world, 1, 1);
-    assert_eq!(host(&world, &rules()).journal.register(&first).await, Granted::Granted);
+    assert_eq!(host(&world, &rules()).journal.register(&first).await, ClaimResult::Granted);
     world.kill(0);
     tokio::time::sleep(Ms(10).duration()).await;
     let back = host(&world, &rules());
-    assert_eq!(back.journal.register(&again(&first)).await, Granted::Unknown);
+    assert_eq!(back.journal.register(&again(&first)).await, ClaimResult::Unknown);
 }
 
 #[tokio::test(start_paused = true)]
@@ -124,16 +124,16 @@
     world.boot(1, 0, &rules());
     let (sleeper, other) = (host(&world, &rules()), world.host(1).expect("a host"));
     let first = claim(&world, 1, 1);
-    assert_eq!(sleeper.journal.register(&first).await, Granted::Granted);
+    assert_eq!(sleeper.journal.register(&first).await, ClaimResult::Granted);
     sleeper.gate.pause(true);
-    assert_eq!(other.journal.register(&again(&first)).await, Granted::Running);
+    assert_eq!(other.journal.register(&again(&first)).await, ClaimResult::Running);
     tokio::time::sleep(rules().running_ms.duration()).await;
-    assert_eq!(other.journal.register(&again(&first)).await, Granted::Unknown);
+    assert_eq!(other.journal.register(&again(&first)).await, ClaimResult::Unknown);
     sleeper.gate.pause(false);
     let answer = Answer { output: "signed".into(), ..Answer::default() };
     let finished = sleeper.journal.finish(&first, Outcome::Done(answer.clone())).await;
     assert_eq!(finished, Ok(()));
-    assert_eq!(other.journal.register(&again(&first)).await, Granted::Answered(answer));
+    assert_eq!(other.journal.register(&again(&first)).await, ClaimResult::Answered(answer));
 }
 
 #[tokio::test(start_paused = true)]
@@ -143,7 +143,7 @@
     let world = World::new(1, 1, None);
     let leaving = host(&world, &rules());
     let claim = claim(&world, 1, 1);
-    assert_eq!(leaving.journal.register(&claim).await, Granted::Granted);
+    assert_eq!(leaving.journal.register(&claim).await, ClaimResult::Granted);
     let answer = Answer { output: "signed".into(), ..Answer::default() };
     let finish = leaving.journal.finish(&claim, Outcome::Done(answer));
     let close = async {
@@ -152,10 +152,10 @@
     };
     let (finished, ()) = tokio::join!(finish, close);
     assert_eq!(finished, Ok(()));
-    assert_eq!(leaving.journal.register(&again(&claim)).await, Granted::Unavailable);
+    assert_eq!(leaving.journal.register(&again(&claim)).await, ClaimResult::Unavailable);
     let other = host(&world, &rules());
     let told = other.journal.register(&again(&claim)).await;
-    assert!(matches!(told, Granted::Answered(_)), "{told:?}");
+    assert!(matches!(told, ClaimResult::Answered(_)), "{told:?}");
 }
 
 #[tokio::test(start_paused = true)]
@@ -168,8 +168,8 @@
     done(&host.journal, &old, 10).await;
     world.store.set_faults(fakes::MemFaults { down: true, ..fakes::MemFaults::default() });
     let start = world.now();
-    assert_eq!(host.journal.register(&claim(&world, 2, 2)).await, Granted::Unavailable);
+    assert_eq!(host.journal.register(&claim(&world, 2, 2)).await, ClaimResult::Unavailable);
     assert!(world.now() - start < Ms(100), "{}", world.now() - start);
     let told = host.journal.register(&again(&old)).await;
-    assert!(matches!(told, Granted::Answered(_)), "{told:?}");
+    assert!(matches!(told, ClaimResult::Answered(_)), "{told:?}");
 }
--- a/crates/journal/tests/sim/mod.rs
+++ b/crates/journal/tests/sim/mod.rs
@@ -9,7 +9,7 @@
 use base::{Key, Ms, RequestId, WorkspaceId};
 use conf::JournalSettings;
 use fakes::MemFaults;
-use journal::{Claim, Granted, Journal, JournalError, Outcome};
+use journal::{Claim, ClaimResult, Journal, JournalError, Outcome};
 use mutation::Mutation;
 use oracle::{Asked, History, Told, Violation};
 use policy::{Grant, Ledger, Ran};
@@ -234,16 +234,18 @@
         let granted = host.journal.register(&self.claim).await;
         host.gate.pass().await;
         let granted = match granted {
-            Granted::Unavailable if mutation == Some(Mutation::RunRefused) => Granted::Granted,
+            ClaimResult::Unavailable if mutation == Some(Mutation::RunRefused) => {
+                ClaimResult::Granted
+            }
             granted => granted,
         };
         let (grant, kept) = match granted {
-            Granted::Granted => (Grant::Granted, None),
-            Granted::Answered(answer) => (Grant::Answered, Some(answer)),
-            Granted::Running => (Grant::Running, None),
-            Granted::Unknown => (Grant::Unknown, None),
-            Granted::Unavailable => (Grant::Unavailable, None),
-            Granted::Expired => (Grant::Expired, None),
+            ClaimResult::Granted => (Grant::Granted, None),
+            ClaimResult::Answered(answer) => (Grant::Answered, Some(answer)),
+            ClaimResult::Running => (Grant::Running, None),
+            ClaimResult::Unknown => (Grant::Unknown, None),
+            ClaimResult::Unavailable => (Grant::Unavailable, None),
+            ClaimResult::Expired => (Grant::Expired, None),
         };
         ledger.registered(grant, self.resent);
         match (grant, kept) {
