--- a/crates/ctl/src/audit.rs
+++ b/crates/ctl/src/audit.rs
@@ -50,7 +50,7 @@
     let mut result = api.put(AUDIT_KIND, name, Version(0), &body).await;
     for _ in 1..TRIES {
         // The same write again can't take effect twice: it insists on a new object.
-        if result == Err(StoreError::Doubt) {
+        if result == Err(StoreError::OutcomeUnknown) {
             result = api.put(AUDIT_KIND, name, Version(0), &body).await;
         }
     }
--- a/crates/ctl/tests/suite/support.rs
+++ b/crates/ctl/tests/suite/support.rs
@@ -127,10 +127,10 @@
     ) -> Result<Version, StoreError> {
         match self.next().await {
             Fault::Down => Err(StoreError::Down),
-            Fault::LoseRequest => Err(StoreError::Doubt),
+            Fault::LoseRequest => Err(StoreError::OutcomeUnknown),
             Fault::LoseAnswer => {
                 let _ = self.lock().put(kind, name, expected, body);
-                Err(StoreError::Doubt)
+                Err(StoreError::OutcomeUnknown)
             }
             Fault::Late(ms) => {
                 let memory = self.clone();
@@ -139,7 +139,7 @@
                     tokio::time::sleep(Ms(ms).duration()).await;
                     let _ = memory.lock().put(&kind, &name, expected, &body);
                 });
-                Err(StoreError::Doubt)
+                Err(StoreError::OutcomeUnknown)
             }
             Fault::None | Fault::Stale => self.lock().put(kind, name, expected, body),
         }
--- a/crates/fakes/src/mem.rs
+++ b/crates/fakes/src/mem.rs
@@ -246,7 +246,7 @@
             Fate::Lost => {
                 let _ = self.store.put_now(kind, name, expected, body);
                 sleep(silence.duration()).await;
-                Err(StoreError::Doubt)
+                Err(StoreError::OutcomeUnknown)
             }
             Fate::Late(after) => {
                 let store = self.store.clone();
@@ -256,7 +256,7 @@
                     let _ = store.put_now(&kind, &name, expected, &body);
                 });
                 sleep(silence.duration()).await;
-                Err(StoreError::Doubt)
+                Err(StoreError::OutcomeUnknown)
             }
         }
     }
--- a/crates/journal/src/layout.rs
+++ b/crates/journal/src/layout.rs
@@ -71,7 +71,7 @@
                 let body = serde_json::to_string(&own).unwrap_or_default();
                 match api.put(SHARD_KIND, LAYOUT_NAME, Version(0), &body).await {
                     Ok(_) => Agreed::Yes,
-                    Err(StoreError::Conflict { .. } | StoreError::Doubt) => Agreed::Again,
+                    Err(StoreError::Conflict { .. } | StoreError::OutcomeUnknown) => Agreed::Again,
                     Err(_) => Agreed::Down,
                 }
             }
--- a/crates/journal/src/writer.rs
+++ b/crates/journal/src/writer.rs
@@ -308,7 +308,7 @@
                 self.valid = false;
                 Err(Round::Again)
             }
-            Err(StoreError::Doubt) => {
+            Err(StoreError::OutcomeUnknown) => {
                 let granted = |fate: &Fate| *fate == Fate::Claimed(ClaimResult::Granted);
                 let ops = self.queue.iter_mut().zip(fates);
                 for (op, _) in ops.filter(|(_, fate)| granted(fate)) {
--- a/crates/journal/tests/sim/mutation.rs
+++ b/crates/journal/tests/sim/mutation.rs
@@ -93,7 +93,7 @@
             }
         }
         match result {
-            Err(StoreError::Doubt) if self.mutation == Some(Mutation::DoubtIsNo) => {
+            Err(StoreError::OutcomeUnknown) if self.mutation == Some(Mutation::DoubtIsNo) => {
                 Err(StoreError::Down)
             }
             result => result,
--- a/crates/store/src/bounded.rs
+++ b/crates/store/src/bounded.rs
@@ -110,7 +110,7 @@
                 let mut next = self.next.lock().unwrap_or_else(PoisonError::into_inner);
                 *next = (*next).max(until);
             }
-            Err(StoreError::Down | StoreError::Doubt) => add(&self.counts.failed),
+            Err(StoreError::Down | StoreError::OutcomeUnknown) => add(&self.counts.failed),
             Ok(_) | Err(_) => {}
         }
         result
--- a/crates/store/src/doubt.rs
+++ b/crates/store/src/doubt.rs
@@ -68,7 +68,7 @@
                 raced = true;
                 seen = seen.max(current);
             }
-            Some(Err(StoreError::Doubt)) => doubt = true,
+            Some(Err(StoreError::OutcomeUnknown)) => doubt = true,
             Some(Err(err)) if !doubt => return Err(err),
             Some(Err(_)) => {}
         }
--- a/crates/store/src/error.rs
+++ b/crates/store/src/error.rs
@@ -14,7 +14,7 @@
     },
     /// The write may or may not have taken effect: its answer was lost.
     #[error("the answer to the write was lost; it may have taken effect")]
-    Doubt,
+    OutcomeUnknown,
     /// The platform can't be reached or doesn't answer. Nothing was written.
     #[error("the object API can't be reached")]
     Down,
--- a/crates/store/src/http.rs
+++ b/crates/store/src/http.rs
@@ -55,7 +55,7 @@
             self.pool.clear();
             match err {
                 LinkError::Connect | LinkError::Unsent => StoreError::Down,
-                _ if write => StoreError::Doubt,
+                _ if write => StoreError::OutcomeUnknown,
                 _ => StoreError::Down,
             }
         })
@@ -100,10 +100,12 @@
         request.headers_mut().insert(condition, value);
         let response = self.call(request, self.config.silence_ms).await?;
         match response.status() {
-            StatusCode::OK | StatusCode::CREATED => etag(&response).ok_or(StoreError::Doubt),
+            StatusCode::OK | StatusCode::CREATED => {
+                etag(&response).ok_or(StoreError::OutcomeUnknown)
+            }
             StatusCode::PRECONDITION_FAILED => match etag(&response) {
                 Some(current) => Err(StoreError::Conflict { current }),
-                None => Err(StoreError::Doubt),
+                None => Err(StoreError::OutcomeUnknown),
             },
             _ => Err(unwritten(&response)),
         }
@@ -163,7 +165,7 @@
 /// the platform failed somewhere on the way.
 fn unwritten(response: &Response<Bytes>) -> StoreError {
     match refused(response) {
-        StoreError::Protocol { status: 500.. } => StoreError::Doubt,
+        StoreError::Protocol { status: 500.. } => StoreError::OutcomeUnknown,
         error => error,
     }
 }
--- a/crates/store/tests/http.rs
+++ b/crates/store/tests/http.rs
@@ -45,10 +45,10 @@
     // Something between host and platform answers for it, or the answer is mangled. The write may
     // have taken effect all the same, so its caller must not read that nothing was written.
     for status in [500, 502, 503, 504] {
-        assert_eq!(put(status, vec![]).await, StoreError::Doubt, "{status}");
+        assert_eq!(put(status, vec![]).await, StoreError::OutcomeUnknown, "{status}");
     }
-    assert_eq!(put(200, vec![]).await, StoreError::Doubt);
-    assert_eq!(put(412, vec![]).await, StoreError::Doubt);
+    assert_eq!(put(200, vec![]).await, StoreError::OutcomeUnknown);
+    assert_eq!(put(412, vec![]).await, StoreError::OutcomeUnknown);
     assert_eq!(put(400, vec![]).await, StoreError::Protocol { status: 400 });
     let busy = put(503, vec![(header::RETRY_AFTER, "2")]).await;
     assert_eq!(busy, StoreError::Busy { retry_after: Ms::secs(2) });
