--- a/crates/ctl/src/apply.rs
+++ b/crates/ctl/src/apply.rs
@@ -3,7 +3,7 @@
 use base::{ChangeId, Generation, Ms, Version};
 use conf::{Fleet, Plan};
 use serde::Serialize;
-use store::{Api, Change, StoreError, Written};
+use store::{Api, Change, StoreError, WriteOutcome};
 use tokio::time::Instant;
 use wire::{Audit, FleetObject, Object};
 
@@ -144,12 +144,12 @@
     let write =
         Change { kind: OBJECT.0, name: OBJECT.1, expected: version, id: change, body: &body };
     match resolve(api, write, settle).await? {
-        Written::Done(_) => Ok(Applied { generation, change }),
-        Written::Open => Err(CtlError::Open { change }),
-        Written::Lost { now: Some(object) } => {
+        WriteOutcome::Committed(_) => Ok(Applied { generation, change }),
+        WriteOutcome::Unknown => Err(CtlError::Open { change }),
+        WriteOutcome::Conflict { current: Some(object) } => {
             Err(raced(now, &serde_json::from_str(&object.body)?))
         }
-        Written::Lost { now: None } => {
+        WriteOutcome::Conflict { current: None } => {
             let (_, object) = read_fleet(api).await?;
             Err(raced(now, &object))
         }
@@ -166,15 +166,15 @@
     api: &dyn Api,
     write: Change<'_>,
     settle: Settle,
-) -> Result<Written, StoreError> {
+) -> Result<WriteOutcome, StoreError> {
     let end = Instant::now() + settle.within.duration();
     let mut result = store::write(api, write, is_ours).await?;
-    while result == Written::Open && Instant::now() < end {
+    while result == WriteOutcome::Unknown && Instant::now() < end {
         tokio::time::sleep(settle.pause.duration()).await;
         result = match store::write(api, write, is_ours).await {
             // Nothing of this round was written. But a conflict may be with the first round's own
             // write, and a platform that is out now may have taken that one.
-            Ok(Written::Lost { now: None }) | Err(_) => Written::Open,
+            Ok(WriteOutcome::Conflict { current: None }) | Err(_) => WriteOutcome::Unknown,
             Ok(written) => written,
         };
     }
--- a/crates/ctl/src/leave.rs
+++ b/crates/ctl/src/leave.rs
@@ -3,7 +3,7 @@
 use base::{Ms, Version};
 use serde::Serialize;
 use std::fmt;
-use store::{Api, Change, Written};
+use store::{Api, Change, WriteOutcome};
 use wire::{FleetObject, LeavingMark};
 
 use crate::apply::resolve;
@@ -66,11 +66,11 @@
     let body = serde_json::to_string(&mark)?;
     let change = Change { kind: LEAVING_KIND, name: target, expected: version, id, body: &body };
     match resolve(api, change, settle).await? {
-        Written::Done(_) => {
+        WriteOutcome::Committed(_) => {
             Ok(Marked { target: mark.target, leaving, changed: true, since_ms: mark.since_ms })
         }
-        Written::Lost { .. } => Err(CtlError::MarkRaced(mark.target)),
-        Written::Open => Err(CtlError::Open { change: id }),
+        WriteOutcome::Conflict { .. } => Err(CtlError::MarkRaced(mark.target)),
+        WriteOutcome::Unknown => Err(CtlError::Open { change: id }),
     }
 }
 
--- a/crates/entry/src/host.rs
+++ b/crates/entry/src/host.rs
@@ -9,7 +9,7 @@
 use policy::{Event, HostContext, State};
 use std::net::SocketAddr;
 use std::sync::Arc;
-use store::{Api, Bounded, HttpApi, HttpConfig};
+use store::{Api, HttpApi, HttpConfig, RateLimited};
 use tokio::net::TcpListener;
 use tokio::sync::mpsc;
 use tokio::task::JoinHandle;
@@ -159,7 +159,7 @@
     let config = HttpConfig { silence_ms: silence.platform_ms, watch_ms: silence.watch_ms };
     let api = Arc::new(HttpApi::new(settings.platform, config));
     // Hosts that back off alike would come back all at once.
-    Arc::new(Bounded::new(api, settings.rates.platform_calls, placed(settings).seed))
+    Arc::new(RateLimited::new(api, settings.rates.platform_calls, placed(settings).seed))
 }
 
 fn journal(
--- a/crates/journal/src/direct.rs
+++ b/crates/journal/src/direct.rs
@@ -3,7 +3,7 @@
 use async_trait::async_trait;
 use base::{ChangeId, Clock, Key, Ms, RequestId, Version, WorkspaceId};
 use std::sync::Arc;
-use store::{Api, Change, StoreError, Written};
+use store::{Api, Change, StoreError, WriteOutcome};
 use wire::{Answer, Object, Record, RecordState};
 
 use crate::{Claim, ClaimResult, Journal, JournalError, Outcome};
@@ -35,7 +35,7 @@
         claim: &Claim,
         expected: Version,
         record: &Record,
-    ) -> Result<Written, StoreError> {
+    ) -> Result<WriteOutcome, StoreError> {
         let name = name(&claim.workspace, claim.key);
         let body = serde_json::to_string(record).unwrap_or_default();
         let id = ChangeId(claim.attempt.0);
@@ -73,13 +73,15 @@
         let mut expected = Version(0);
         for _ in 0..2 {
             match self.write(claim, expected, &record).await {
-                Ok(Written::Done(_)) => return ClaimResult::Granted,
-                Ok(Written::Open) | Err(_) => return ClaimResult::Unavailable,
-                Ok(Written::Lost { now: None }) => return ClaimResult::Unavailable,
-                Ok(Written::Lost { now: Some(object) }) => match held(&object, claim.attempt) {
-                    Held::Free => expected = Version(object.version),
-                    Held::Taken(granted) => return granted,
-                },
+                Ok(WriteOutcome::Committed(_)) => return ClaimResult::Granted,
+                Ok(WriteOutcome::Unknown) | Err(_) => return ClaimResult::Unavailable,
+                Ok(WriteOutcome::Conflict { current: None }) => return ClaimResult::Unavailable,
+                Ok(WriteOutcome::Conflict { current: Some(object) }) => {
+                    match held(&object, claim.attempt) {
+                        Held::Free => expected = Version(object.version),
+                        Held::Taken(granted) => return granted,
+                    }
+                }
             }
         }
         ClaimResult::Running
@@ -100,9 +102,9 @@
         }
         let record = self.record(claim, state, answer);
         match self.write(claim, Version(object.version), &record).await {
-            Ok(Written::Done(_)) => Ok(()),
-            Ok(Written::Lost { .. }) => Err(JournalError::NotHolder),
-            Ok(Written::Open) | Err(_) => Err(JournalError::Unavailable),
+            Ok(WriteOutcome::Committed(_)) => Ok(()),
+            Ok(WriteOutcome::Conflict { .. }) => Err(JournalError::NotHolder),
+            Ok(WriteOutcome::Unknown) | Err(_) => Err(JournalError::Unavailable),
         }
     }
 
--- a/crates/store/src/bounded.rs
+++ b/crates/store/src/bounded.rs
@@ -38,7 +38,7 @@
 /// The platform takes a few hundred writes and two thousand reads a second from the whole fleet.
 /// Without a bound one host that retries in a loop takes them all, and every other host reads an
 /// outage. With it, what one host can take is known, whatever goes wrong in it.
-pub struct Bounded {
+pub struct RateLimited {
     inner: Arc<dyn Api>,
     every: Duration,
     seed: u64,
@@ -56,7 +56,7 @@
     held: AtomicU64,
 }
 
-impl Bounded {
+impl RateLimited {
     /// At most `calls` a second go to `inner`; zero counts as one. `seed` must differ from host to
     /// host: hosts that were told the same time to come back must not all come at once.
     pub fn new(inner: Arc<dyn Api>, calls: u32, seed: u64) -> Self {
@@ -118,7 +118,7 @@
 }
 
 #[async_trait]
-impl Api for Bounded {
+impl Api for RateLimited {
     async fn get(&self, kind: &str, name: &str) -> Result<Option<Object>, StoreError> {
         self.turn(&self.counts.reads).await?;
         self.ended(self.inner.get(kind, name).await)
--- a/crates/store/src/doubt.rs
+++ b/crates/store/src/doubt.rs
@@ -22,16 +22,16 @@
 
 /// How a write ended.
 #[derive(Clone, Debug, PartialEq)]
-pub enum Written {
+pub enum WriteOutcome {
     /// It took effect, and the object is at this version.
-    Done(Version),
+    Committed(Version),
     /// Another writer was first; nothing of this write took effect or ever will.
-    Lost {
+    Conflict {
         /// The object as it is now, if it could be read.
-        now: Option<Object>,
+        current: Option<Object>,
     },
     /// It can't be told: the write may have taken effect, or may still.
-    Open,
+    Unknown,
 }
 
 /// Tries to learn the outcome before it is left open.
@@ -52,7 +52,7 @@
     api: &dyn Api,
     change: Change<'_>,
     has_change: impl Fn(&Object, ChangeId) -> bool,
-) -> Result<Written, StoreError> {
+) -> Result<WriteOutcome, StoreError> {
     let Change { kind, name, expected, id, body } = change;
     let (mut doubt, mut raced, mut seen) = (false, false, expected.next());
     for turn in 0..TURNS {
@@ -63,7 +63,7 @@
         let sent = if raced { None } else { Some(api.put(kind, name, expected, body).await) };
         match sent {
             None => {}
-            Some(Ok(version)) => return Ok(Written::Done(version)),
+            Some(Ok(version)) => return Ok(WriteOutcome::Committed(version)),
             Some(Err(StoreError::Conflict { current })) => {
                 raced = true;
                 seen = seen.max(current);
@@ -74,15 +74,19 @@
         }
         match api.get(kind, name).await {
             Ok(Some(object)) if has_change(&object, id) => {
-                return Ok(Written::Done(Version(object.version)));
+                return Ok(WriteOutcome::Committed(Version(object.version)));
             }
             Ok(Some(object)) if object.version >= seen.0 => {
-                return Ok(Written::Lost { now: Some(object) });
+                return Ok(WriteOutcome::Conflict { current: Some(object) });
             }
             Ok(_) | Err(_) => {}
         }
     }
-    Ok(if raced && !doubt { Written::Lost { now: None } } else { Written::Open })
+    Ok(if raced && !doubt {
+        WriteOutcome::Conflict { current: None }
+    } else {
+        WriteOutcome::Unknown
+    })
 }
 
 /// Grows, and differs between writers, so that those who met once don't meet again. Drawn from the
--- a/crates/store/src/lib.rs
+++ b/crates/store/src/lib.rs
@@ -1,7 +1,7 @@
 //! Client of the platform's object API: versions, conditional writes, watches, and writes whose
 //! answer was lost.
 //!
-//! [`Api`] is the border. [`HttpApi`] speaks to the platform, [`Bounded`] limits how often; tests
+//! [`Api`] is the border. [`HttpApi`] speaks to the platform, [`RateLimited`] limits how often; tests
 //! put an in-memory one in its place, and [`Empty`] stands where there is none.
 
 mod api;
@@ -12,8 +12,8 @@
 mod http;
 
 pub use api::Api;
-pub use bounded::{Bounded, CallCounts};
-pub use doubt::{Change, Written, write};
+pub use bounded::{CallCounts, RateLimited};
+pub use doubt::{Change, WriteOutcome, write};
 pub use empty::Empty;
 pub use error::StoreError;
 pub use http::{HttpApi, HttpConfig};
--- a/crates/store/tests/doubt.rs
+++ b/crates/store/tests/doubt.rs
@@ -3,20 +3,20 @@
 use base::{ChangeId, Ms, Version};
 use fakes::{MemFaults, MemStore};
 use std::sync::{Arc, Mutex};
-use store::{Api, Change, Written};
+use store::{Api, Change, WriteOutcome};
 use tokio::time::sleep;
 
 const WRITERS: u128 = 4;
 const WRITES: u128 = 6;
 
 /// Appends a line to the object, over what it reads.
-async fn append(api: &dyn Api, id: ChangeId) -> Option<Written> {
+async fn append(api: &dyn Api, id: ChangeId) -> Option<WriteOutcome> {
     let read = api.get("list", "one").await.ok()?;
     let expected = Version(read.as_ref().map_or(0, |o| o.version));
     let body = format!("{}{id}\n", read.map(|o| o.body).unwrap_or_default());
     let change = Change { kind: "list", name: "one", expected, id, body: &body };
     let written = store::write(api, change, |o, id| o.body.contains(&id.to_string())).await.ok();
-    if let Some(Written::Lost { now: Some(now) }) = &written {
+    if let Some(WriteOutcome::Conflict { current: Some(now) }) = &written {
         assert!(now.version > expected.0, "{id} lost to a version that is older than its own");
     }
     written
@@ -50,15 +50,15 @@
     for (id, written) in told.lock().expect("what was told").iter() {
         let there = body.contains(&id.to_string());
         match written {
-            Some(Written::Done(_)) => {
+            Some(WriteOutcome::Committed(_)) => {
                 assert!(there, "seed {seed}: {id} is told as done and isn't there");
                 done += 1;
             }
-            Some(Written::Lost { .. }) | None => {
+            Some(WriteOutcome::Conflict { .. }) | None => {
                 assert!(!there, "seed {seed}: {id} is told as lost and is there");
                 lost += 1;
             }
-            Some(Written::Open) => open += 1,
+            Some(WriteOutcome::Unknown) => open += 1,
         }
     }
     (done, lost, open)
