--- a/crates/store/src/api.rs
+++ b/crates/store/src/api.rs
@@ -1,4 +1,4 @@
-//! The border to the platform's object API.
+//! The interface of the platform's object API.
 
 use async_trait::async_trait;
 use base::{Ms, Version};
@@ -15,8 +15,8 @@
     /// Reads all objects of a kind.
     async fn list(&self, kind: &str) -> Result<ObjectList, StoreError>;
 
-    /// Writes if the object is at `expected`; zero means that it must not exist. Gives the new
-    /// version.
+    /// Writes the object if its version is `expected`; zero means that it must not exist yet.
+    /// Returns the new version.
     async fn put(
         &self,
         kind: &str,
@@ -25,7 +25,7 @@
         body: &str,
     ) -> Result<Version, StoreError>;
 
-    /// Waits at most `wait` for objects of a kind newer than `after` and gives them; empty when
-    /// none came.
+    /// Waits up to `wait` for objects of a kind with a version above `after` and returns them; the
+    /// list is empty if there were none.
     async fn watch(&self, kind: &str, after: Version, wait: Ms) -> Result<ObjectList, StoreError>;
 }
--- a/crates/store/src/empty.rs
+++ b/crates/store/src/empty.rs
@@ -1,4 +1,4 @@
-//! A store in which nothing lies, for nodes that learn from their peers alone.
+//! An object API without any objects, for nodes that get all their data from peers.
 
 use async_trait::async_trait;
 use base::{Ms, Version};
@@ -6,7 +6,7 @@
 
 use crate::{Api, StoreError};
 
-/// Reads find nothing, writes fail and watches wait in vain.
+/// Reads find nothing, writes fail, and watches time out with an empty list.
 #[derive(Clone, Copy, Debug, Default)]
 pub struct Empty;
 
--- a/crates/store/src/http.rs
+++ b/crates/store/src/http.rs
@@ -15,18 +15,18 @@
 
 use crate::{Api, StoreError};
 
-/// Largest answer that is read, bytes. A list holds many objects of up to a megabyte.
-const ANSWER_BYTES: usize = 64 << 20;
+/// Largest response body that is read, bytes. A list holds many objects of up to a megabyte each.
+const MAX_RESPONSE_BYTES: usize = 64 << 20;
 
-/// When to come back where the platform doesn't say.
-const BUSY_MS: Ms = Ms::secs(1);
+/// Retry delay when the platform's response names none.
+const DEFAULT_RETRY_AFTER_MS: Ms = Ms::secs(1);
 
-/// Bounds of the client.
+/// Time limits of the client.
 #[derive(Clone, Copy, Debug)]
 pub struct HttpConfig {
-    /// Silence after which a call is given up on, ms.
+    /// A call fails after this long without any data, ms.
     pub silence_ms: Ms,
-    /// Silence past a watch's agreed wait, ms.
+    /// How much longer than its requested wait a watch may take to respond, ms.
     pub watch_ms: Ms,
 }
 
@@ -46,12 +46,12 @@
     async fn call(
         &self,
         request: Request<Bytes>,
-        silence: Ms,
+        idle_timeout: Ms,
     ) -> Result<Response<Bytes>, StoreError> {
         let write = request.method() == Method::PUT;
-        let result = link::call(&self.pool, request, silence, ANSWER_BYTES).await;
+        let result = link::call(&self.pool, request, idle_timeout, MAX_RESPONSE_BYTES).await;
         result.map_err(|err| {
-            // What broke one connection may have lost track of the others too.
+            // The cause may have broken the other pooled connections as well.
             self.pool.clear();
             match err {
                 LinkError::Connect | LinkError::Unsent => StoreError::Down,
@@ -69,9 +69,11 @@
         let request = request(Method::GET, &path, Bytes::new());
         let response = self.call(request, self.config.silence_ms).await?;
         match response.status() {
-            StatusCode::OK => parse(&response).and_then(|o| own(o, kind, name)).map(Some),
+            StatusCode::OK => {
+                parse(&response).and_then(|o| verify_identity(o, kind, name)).map(Some)
+            }
             StatusCode::NOT_FOUND => Ok(None),
-            _ => Err(refused(&response)),
+            _ => Err(response_error(&response)),
         }
     }
 
@@ -80,7 +82,7 @@
         let response = self.call(request, self.config.silence_ms).await?;
         match response.status() {
             StatusCode::OK => parse(&response),
-            _ => Err(refused(&response)),
+            _ => Err(response_error(&response)),
         }
     }
 
@@ -107,7 +109,7 @@
                 Some(current) => Err(StoreError::Conflict { current }),
                 None => Err(StoreError::OutcomeUnknown),
             },
-            _ => Err(unwritten(&response)),
+            _ => Err(write_error(&response)),
         }
     }
 
@@ -117,7 +119,7 @@
         let response = self.call(request, wait + self.config.watch_ms).await?;
         match response.status() {
             StatusCode::OK => parse(&response),
-            _ => Err(refused(&response)),
+            _ => Err(response_error(&response)),
         }
     }
 }
@@ -135,20 +137,22 @@
     serde_json::from_slice(response.body()).map_err(|_| StoreError::Protocol { status: 0 })
 }
 
-/// The path of a kind or an object. Other characters would cut the path short or lead elsewhere.
+/// The path of a kind or an object. Other characters could truncate the path or make it address
+/// another object.
 fn path(kind: &str, name: Option<&str>) -> Result<String, StoreError> {
-    let plain = |c: char| c.is_ascii_alphanumeric() || "-_.~".contains(c);
-    let good = |part: &str| !part.is_empty() && part.chars().all(plain);
+    let allowed = |c: char| c.is_ascii_alphanumeric() || "-_.~".contains(c);
+    let valid = |part: &str| !part.is_empty() && part.chars().all(allowed);
     match name {
-        _ if !good(kind) => Err(StoreError::Name),
-        Some(name) if !good(name) => Err(StoreError::Name),
+        _ if !valid(kind) => Err(StoreError::InvalidName),
+        Some(name) if !valid(name) => Err(StoreError::InvalidName),
         Some(name) => Ok(format!("/objects/{kind}/{name}")),
         None => Ok(format!("/objects/{kind}")),
     }
 }
 
-/// Drops an answer that is another's: something between the two ends mixed up the connection.
-fn own(object: Object, kind: &str, name: &str) -> Result<Object, StoreError> {
+/// Rejects an object other than the requested one: a proxy between host and platform may have mixed
+/// up responses.
+fn verify_identity(object: Object, kind: &str, name: &str) -> Result<Object, StoreError> {
     match object {
         object if object.kind == kind && object.name == name => Ok(object),
         _ => Err(StoreError::Protocol { status: 0 }),
@@ -160,25 +164,27 @@
     value.trim_matches('"').parse().ok().map(Version)
 }
 
-/// What a refused write means. Only the platform's own words say that nothing was written: a 502
-/// or 504 comes from something in between, which may have passed the write on, and a 500 says that
-/// the platform failed somewhere on the way.
-fn unwritten(response: &Response<Bytes>) -> StoreError {
-    match refused(response) {
+/// The error of a failed write. Only an explicit rejection by the platform shows that nothing was
+/// written: a 502 or 504 comes from a proxy, which may have forwarded the write, and a 500 means
+/// that the platform failed at an unknown point.
+fn write_error(response: &Response<Bytes>) -> StoreError {
+    match response_error(response) {
         StoreError::Protocol { status: 500.. } => StoreError::OutcomeUnknown,
         error => error,
     }
 }
 
-fn refused(response: &Response<Bytes>) -> StoreError {
+fn response_error(response: &Response<Bytes>) -> StoreError {
     let status = response.status();
     let value = response.headers().get(header::RETRY_AFTER);
     let after = value.and_then(|v| v.to_str().ok()).and_then(|v| v.parse().ok()).map(Ms::secs);
     match status {
-        StatusCode::TOO_MANY_REQUESTS => StoreError::Busy { retry_after: after.unwrap_or(BUSY_MS) },
-        // Without a time to come back it may be anyone's word.
+        StatusCode::TOO_MANY_REQUESTS => {
+            StoreError::Busy { retry_after: after.unwrap_or(DEFAULT_RETRY_AFTER_MS) }
+        }
+        // Without `Retry-After` the response may come from a proxy instead of the platform.
         StatusCode::SERVICE_UNAVAILABLE if after.is_some() => {
-            StoreError::Busy { retry_after: after.unwrap_or(BUSY_MS) }
+            StoreError::Busy { retry_after: after.unwrap_or(DEFAULT_RETRY_AFTER_MS) }
         }
         StatusCode::PAYLOAD_TOO_LARGE => StoreError::TooLarge,
         _ => StoreError::Protocol { status: status.as_u16() },
--- a/crates/store/tests/bounded.rs
+++ b/crates/store/tests/rate_limit.rs
@@ -1,4 +1,4 @@
-//! One host's calls stay within their bound.
+//! The calls of one host stay within their rate limit.
 
 use base::{Ms, Version};
 use fakes::{MemFaults, MemStore};
@@ -7,9 +7,10 @@
 use tokio::time::Instant;
 
 #[tokio::test(start_paused = true)]
-async fn calls_beyond_the_bound_wait_or_are_held() {
-    // A host retries in a loop, 200 calls at once under a bound of 50 a second. A burst goes at
-    // once, the next ones wait for their turn, and those that would wait for long never leave.
+async fn calls_above_the_rate_wait_or_are_rejected() {
+    // A host that retries in a loop makes 200 calls at once, with a limit of 50 a second. A burst
+    // is sent at once, the next calls wait for their slot, and those that would wait too long are
+    // rejected and never sent.
     let store = MemStore::new(1);
     let api = Arc::new(RateLimited::new(store.api("a"), 50, 1));
     let start = Instant::now();
@@ -17,21 +18,21 @@
         let api = api.clone();
         tokio::spawn(async move { api.get("kind", "name").await })
     });
-    let mut held = 0;
+    let mut throttled = 0;
     for call in calls.collect::<Vec<_>>() {
-        held += u32::from(matches!(call.await, Ok(Err(StoreError::Busy { .. }))));
+        throttled += u32::from(matches!(call.await, Ok(Err(StoreError::Busy { .. }))));
     }
     let sent = store.stats().reads;
     let most = 50 * (start.elapsed().as_millis() as u64 + 250) / 1_000 + 1;
     assert!(sent >= 25 && sent <= most, "{sent} of at most {most} calls were sent");
-    assert_eq!(sent + u64::from(held), 200);
-    assert_eq!((api.counts().reads, api.counts().held), (sent, u64::from(held)));
+    assert_eq!(sent + u64::from(throttled), 200);
+    assert_eq!((api.counts().reads, api.counts().throttled), (sent, u64::from(throttled)));
 }
 
 #[tokio::test(start_paused = true)]
-async fn the_platforms_word_to_come_back_later_holds_for_all_calls() {
-    // The platform is overrun and asks one call to come back later. The host's next call, of
-    // another kind, waits for that too.
+async fn retry_after_of_the_platform_delays_all_calls() {
+    // The platform is overloaded and rejects one call with a `retry_after`. The host's next call
+    // waits for that time too, although it is of another type.
     let store = MemStore::new(1);
     let api = RateLimited::new(store.api("a"), 1_000, 1);
     store.set_faults(MemFaults { busy: true, ..MemFaults::default() });
