--- a/crates/journal/src/direct.rs
+++ b/crates/journal/src/direct.rs
@@ -1,4 +1,5 @@
-//! One object a key: the plain way, and the baseline that the sharded journal is measured against.
+//! A journal with one object per key: the simple design, and the baseline against which the sharded
+//! journal is measured.
 
 use async_trait::async_trait;
 use base::{ChangeId, Clock, Key, Ms, RequestId, Version, WorkspaceId};
@@ -8,10 +9,10 @@
 
 use crate::{Claim, ClaimResult, Journal, JournalError, Outcome};
 
-/// Kind of the records' objects.
-const KIND: &str = "once";
+/// Kind of the objects that hold the records.
+const RECORD_KIND: &str = "once";
 
-/// One object a key, written by the entry host itself.
+/// A journal with one object per key, written by the entry host itself.
 pub struct Direct {
     api: Arc<dyn Api>,
     clock: Arc<dyn Clock>,
@@ -20,7 +21,7 @@
 }
 
 impl Direct {
-    /// Keys are remembered for `window` and may be `ahead` of this host's clock.
+    /// Keys are remembered for `window`, and their time may be `ahead` of this host's clock.
     pub fn new(api: Arc<dyn Api>, clock: Arc<dyn Clock>, window: Ms, ahead: Ms) -> Self {
         Self { api, clock, window, ahead }
     }
@@ -36,10 +37,10 @@
         expected: Version,
         record: &Record,
     ) -> Result<WriteOutcome, StoreError> {
-        let name = name(&claim.workspace, claim.key);
+        let name = object_name(&claim.workspace, claim.key);
         let body = serde_json::to_string(record).unwrap_or_default();
         let id = ChangeId(claim.attempt.0);
-        let change = Change { kind: KIND, name: &name, expected, id, body: &body };
+        let change = Change { kind: RECORD_KIND, name: &name, expected, id, body: &body };
         let state = record.state;
         store::write(self.api.as_ref(), change, |object, _| {
             parse(object)
@@ -77,9 +78,9 @@
                 Ok(WriteOutcome::Unknown) | Err(_) => return ClaimResult::Unavailable,
                 Ok(WriteOutcome::Conflict { current: None }) => return ClaimResult::Unavailable,
                 Ok(WriteOutcome::Conflict { current: Some(object) }) => {
-                    match held(&object, claim.attempt) {
-                        Held::Free => expected = Version(object.version),
-                        Held::Taken(granted) => return granted,
+                    match key_state(&object, claim.attempt) {
+                        KeyState::Free => expected = Version(object.version),
+                        KeyState::Taken(result) => return result,
                     }
                 }
             }
@@ -93,11 +94,11 @@
             Outcome::Released => (RecordState::Released, None),
             Outcome::Lost => (RecordState::Lost, None),
         };
-        let name = name(&claim.workspace, claim.key);
-        let read = self.api.get(KIND, &name).await.map_err(|_| JournalError::Unavailable)?;
+        let name = object_name(&claim.workspace, claim.key);
+        let read = self.api.get(RECORD_KIND, &name).await.map_err(|_| JournalError::Unavailable)?;
         let object = read.ok_or(JournalError::NotHolder)?;
-        let held = parse(&object).ok_or(JournalError::NotHolder)?;
-        if held.attempt != claim.attempt.to_string() {
+        let current = parse(&object).ok_or(JournalError::NotHolder)?;
+        if current.attempt != claim.attempt.to_string() {
             return Err(JournalError::NotHolder);
         }
         let record = self.record(claim, state, answer);
@@ -111,21 +112,21 @@
     async fn close(&self) {}
 }
 
-enum Held {
+enum KeyState {
     Free,
     Taken(ClaimResult),
 }
 
-fn held(object: &Object, attempt: RequestId) -> Held {
-    let Some(record) = parse(object) else { return Held::Taken(ClaimResult::Unknown) };
+fn key_state(object: &Object, attempt: RequestId) -> KeyState {
+    let Some(record) = parse(object) else { return KeyState::Taken(ClaimResult::Unknown) };
     match (record.state(), record.answer) {
-        (RecordState::Released, _) => Held::Free,
+        (RecordState::Released, _) => KeyState::Free,
         (RecordState::Started, _) if record.attempt == attempt.to_string() => {
-            Held::Taken(ClaimResult::Granted)
+            KeyState::Taken(ClaimResult::Granted)
         }
-        (RecordState::Started, _) => Held::Taken(ClaimResult::Running),
-        (RecordState::Done, Some(answer)) => Held::Taken(ClaimResult::Answered(answer)),
-        (RecordState::Done | RecordState::Lost, _) => Held::Taken(ClaimResult::Unknown),
+        (RecordState::Started, _) => KeyState::Taken(ClaimResult::Running),
+        (RecordState::Done, Some(answer)) => KeyState::Taken(ClaimResult::Answered(answer)),
+        (RecordState::Done | RecordState::Lost, _) => KeyState::Taken(ClaimResult::Unknown),
     }
 }
 
@@ -133,6 +134,6 @@
     serde_json::from_str(&object.body).ok()
 }
 
-fn name(workspace: &WorkspaceId, key: Key) -> String {
+fn object_name(workspace: &WorkspaceId, key: Key) -> String {
     format!("{workspace}.{key}")
 }
--- a/crates/journal/src/error.rs
+++ b/crates/journal/src/error.rs
@@ -1,11 +1,11 @@
-//! What the journal can fail with.
+//! Errors of the journal.
 
 use thiserror::Error;
 
-/// An outcome that could not be recorded.
+/// Why an outcome could not be recorded.
 #[derive(Clone, Copy, Debug, PartialEq, Eq, Error)]
 pub enum JournalError {
-    /// The object API can't be written now.
+    /// The object API is unavailable.
     #[error("the record could not be written; it stays as started")]
     Unavailable,
     /// Another attempt holds the key.
--- a/crates/journal/src/journal.rs
+++ b/crates/journal/src/journal.rs
@@ -1,4 +1,4 @@
-//! The border between the journal and the entry host.
+//! The interface between the journal and the entry host.
 
 use async_trait::async_trait;
 use base::{Key, RequestId, WorkspaceId};
@@ -9,51 +9,52 @@
 /// A request's claim on its key.
 #[derive(Clone, Debug, PartialEq, Eq)]
 pub struct Claim {
-    /// Whose key it is: workspaces can't read or block each other's.
+    /// The workspace that owns the key: workspaces can't read or block each other's keys.
     pub workspace: WorkspaceId,
-    /// The caller's key.
+    /// The key that the caller chose.
     pub key: Key,
-    /// The claiming attempt: the request's identifier, different for each re-send.
+    /// The attempt that makes the claim: the request's identifier, different for each re-send.
     pub attempt: RequestId,
 }
 
-/// What became of a claim.
+/// The result of a claim.
 #[derive(Clone, Debug, PartialEq)]
 pub enum ClaimResult {
     /// This attempt, and no other, may run.
     Granted,
-    /// It ran; this is the kept answer.
+    /// The request ran; this is its recorded answer.
     Answered(Answer),
-    /// Another attempt holds it, on a host that may be alive.
+    /// Another attempt holds the key, on a host that may be alive.
     Running,
-    /// It started and its outcome can't be told.
+    /// The request was started and its outcome is unknown.
     Unknown,
-    /// The record could not be made; this attempt must not run.
+    /// The claim could not be recorded; this attempt must not run.
     Unavailable,
-    /// The key is older than the window, or from the future.
+    /// The key is older than the window, or lies too far in the future.
     Expired,
 }
 
 /// How a granted attempt ended.
 #[derive(Clone, Debug, PartialEq)]
 pub enum Outcome {
-    /// With this answer; one larger than the setting is dropped and later told as unknown.
+    /// It ended with this answer. An answer larger than the configured limit is dropped, and
+    /// re-sends are told that the outcome is unknown.
     Done(Answer),
-    /// Nothing that may not be repeated was sent: the key may be granted again.
+    /// Nothing was sent that must not be repeated: the key may be granted again.
     Released,
-    /// It was sent and what became of it can't be told.
+    /// The request was sent and its outcome is unknown.
     Lost,
 }
 
 /// At-most-once records.
 #[async_trait]
 pub trait Journal: Send + Sync {
-    /// Claims a key. Asked again with the same attempt, it gives the same grant.
+    /// Claims a key. A repeated call with the same attempt returns the same result.
     async fn register(&self, claim: &Claim) -> ClaimResult;
 
     /// Records how a granted attempt ended.
     async fn finish(&self, claim: &Claim, outcome: Outcome) -> Result<(), JournalError>;
 
-    /// Writes what is still to be written, and stops.
+    /// Writes what is still queued, and stops.
     async fn close(&self);
 }
--- a/crates/journal/src/layout.rs
+++ b/crates/journal/src/layout.rs
@@ -1,4 +1,4 @@
-//! Which shard object holds a key.
+//! Maps each key to the shard object that holds its record.
 
 use base::{Key, Version};
 use conf::JournalSettings;
@@ -7,25 +7,26 @@
 
 use crate::SHARD_KIND;
 
-/// Name of the object that holds the layout, among the shards.
+/// Name of the object that holds the layout, of the same kind as the shards.
 const LAYOUT_NAME: &str = "layout";
 
-/// Whether the fleet has the same layout.
+/// How this host's layout compares with the fleet's.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
-pub(crate) enum Agreed {
-    Yes,
-    No,
-    /// Another host was first to set it, or it can't be told whether this one was: ask again.
-    Again,
-    /// The platform can't be asked now.
-    Down,
+pub(crate) enum Agreement {
+    Same,
+    Different,
+    /// Another host set the layout first, or it is unknown whether this host set it: compare again.
+    Retry,
+    /// The object API is unavailable.
+    Unavailable,
 }
 
-/// Shards in a ring of time slots, each slot `lanes` wide.
+/// A ring of time slots, each with `lanes` shards.
 ///
-/// A key carries when it was made, so new keys meet in one slot and share its commits, while older
-/// slots rest until a key in them ends. Spread over all shards by hash alone, each would take too
-/// few keys for a commit to be shared.
+/// A key contains the time at which it was made. New keys therefore fall into one slot and share
+/// its writes, while the shards of older slots stay unchanged until one of their keys ends. If keys
+/// were spread over all shards by hash alone, each shard would get too few keys for a write to be
+/// shared.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 pub(crate) struct Layout {
     lanes: u64,
@@ -37,8 +38,8 @@
     pub(crate) fn new(settings: &JournalSettings) -> Self {
         let lanes = u64::from(settings.lanes.max(1));
         let slots = (u64::from(settings.shards) / lanes).max(1);
-        // Keys live from `ahead_ms` before their host's clock to `ahead_ms` past the window. One
-        // slot more, so that the oldest and the newest never meet in one.
+        // Keys are valid from `ahead_ms` before their host's clock to `ahead_ms` past the window.
+        // One extra slot keeps the oldest and the newest valid keys from sharing a slot.
         let span = settings.window_ms + settings.ahead_ms + settings.ahead_ms;
         let slot_ms = span.0.div_ceil(slots.saturating_sub(1).max(1)).max(1);
         Self { lanes, slots, slot_ms }
@@ -53,10 +54,10 @@
 
     /// Compares this layout with the fleet's; the first host to ask sets it.
     ///
-    /// Two hosts with different settings would look for one key in two objects, find it free in
-    /// both, and run it twice. So a host refuses keys until it has read that its layout is the
-    /// fleet's.
-    pub(crate) async fn agree(&self, api: &dyn Api) -> Agreed {
+    /// Two hosts with different settings would look for the same key in two objects, find it free
+    /// in both, and run it twice. So a host refuses keys until it has read that its layout equals
+    /// the fleet's.
+    pub(crate) async fn compare_with_fleet(&self, api: &dyn Api) -> Agreement {
         let own = JournalLayout {
             shards: (self.lanes * self.slots) as u32,
             lanes: self.lanes as u32,
@@ -64,18 +65,20 @@
         };
         match api.get(SHARD_KIND, LAYOUT_NAME).await {
             Ok(Some(object)) => match serde_json::from_str::<JournalLayout>(&object.body) {
-                Ok(fleet) if fleet == own => Agreed::Yes,
-                Ok(_) | Err(_) => Agreed::No,
+                Ok(fleet) if fleet == own => Agreement::Same,
+                Ok(_) | Err(_) => Agreement::Different,
             },
             Ok(None) => {
                 let body = serde_json::to_string(&own).unwrap_or_default();
                 match api.put(SHARD_KIND, LAYOUT_NAME, Version(0), &body).await {
-                    Ok(_) => Agreed::Yes,
-                    Err(StoreError::Conflict { .. } | StoreError::OutcomeUnknown) => Agreed::Again,
-                    Err(_) => Agreed::Down,
+                    Ok(_) => Agreement::Same,
+                    Err(StoreError::Conflict { .. } | StoreError::OutcomeUnknown) => {
+                        Agreement::Retry
+                    }
+                    Err(_) => Agreement::Unavailable,
                 }
             }
-            Err(_) => Agreed::Down,
+            Err(_) => Agreement::Unavailable,
         }
     }
 }
--- a/crates/journal/src/lib.rs
+++ b/crates/journal/src/lib.rs
@@ -1,18 +1,18 @@
-//! At-most-once records for requests that may not be repeated.
+//! At-most-once execution of requests that must not be repeated.
 //!
-//! [`Journal`] is the border to the entry host. The record of a key is made by a conditional write
-//! in the object API before anything of the request is sent.
+//! [`Journal`] is the interface to the entry host. A key is recorded by a conditional write in the
+//! object API before anything of its request is sent to a target.
 
-mod book;
+mod apply;
 mod direct;
 mod error;
 mod journal;
 mod layout;
 mod message;
 mod op;
+mod records;
 mod sharded;
 mod shared;
-mod weigh;
 mod writer;
 
 pub use direct::Direct;
--- a/crates/journal/src/message.rs
+++ b/crates/journal/src/message.rs
@@ -1,12 +1,12 @@
-//! Claims, grants and finishes as they cross between hosts.
+//! Conversion of claims, grants and finishes to and from their messages between hosts.
 
 use base::{Key, RequestId, WorkspaceId};
 use wire::{Finish, Grant, GrantKind, RecordState};
 
-use crate::op::Claimed;
+use crate::op::ClaimReply;
 use crate::{Claim, ClaimResult, Outcome};
 
-/// Reads a claim as it crosses the wire.
+/// Parses a claim message; `None` if it is malformed.
 pub(crate) fn claim(claim: &wire::Claim) -> Option<Claim> {
     Some(Claim {
         workspace: WorkspaceId::from(claim.workspace.as_str()),
@@ -15,8 +15,8 @@
     })
 }
 
-pub(crate) fn grant(claimed: Claimed) -> Grant {
-    let (kind, answer) = match claimed.granted {
+pub(crate) fn grant(reply: ClaimReply) -> Grant {
+    let (kind, answer) = match reply.result {
         ClaimResult::Granted => (GrantKind::Granted, None),
         ClaimResult::Answered(answer) => (GrantKind::Answered, Some(answer)),
         ClaimResult::Running => (GrantKind::Running, None),
@@ -24,11 +24,11 @@
         ClaimResult::Unavailable => (GrantKind::Unavailable, None),
         ClaimResult::Expired => (GrantKind::Expired, None),
     };
-    Grant { kind: kind.into(), answer, open: claimed.open }
+    Grant { kind: kind.into(), answer, open: reply.pending }
 }
 
-pub(crate) fn claimed(grant: Grant) -> Claimed {
-    let granted = match (grant.kind(), grant.answer) {
+pub(crate) fn reply_from(grant: Grant) -> ClaimReply {
+    let result = match (grant.kind(), grant.answer) {
         (GrantKind::Granted, _) => ClaimResult::Granted,
         (GrantKind::Answered, Some(answer)) => ClaimResult::Answered(answer),
         (GrantKind::Answered, None) | (GrantKind::GrantUnknown, _) => ClaimResult::Unknown,
@@ -36,7 +36,7 @@
         (GrantKind::Unavailable, _) => ClaimResult::Unavailable,
         (GrantKind::Expired, _) => ClaimResult::Expired,
     };
-    Claimed { granted, open: grant.open }
+    ClaimReply { result, pending: grant.open }
 }
 
 pub(crate) fn finish(claim: &Claim, outcome: &Outcome) -> Finish {
--- a/crates/journal/src/op.rs
+++ b/crates/journal/src/op.rs
@@ -1,88 +1,88 @@
-//! What a shard's writer is asked to do.
+//! Operations that are queued for a shard's writer.
 
 use base::{Ms, Version};
 use tokio::sync::oneshot;
 
-use crate::book::Holder;
+use crate::records::Holder;
 use crate::{Claim, ClaimResult, JournalError, Outcome};
 
-/// What became of a claim, and whether its record may still be made.
+/// The reply to a claim.
 #[derive(Clone, Debug, PartialEq)]
-pub(crate) struct Claimed {
-    pub(crate) granted: ClaimResult,
-    /// A write that holds the claim was sent and its outcome is open.
-    pub(crate) open: bool,
+pub(crate) struct ClaimReply {
+    pub(crate) result: ClaimResult,
+    /// A write with the claim was sent and may have taken effect, or may still do so.
+    pub(crate) pending: bool,
 }
 
-impl Claimed {
-    pub(crate) const fn refused(open: bool) -> Self {
-        Self { granted: ClaimResult::Unavailable, open }
+impl ClaimReply {
+    pub(crate) const fn refused(pending: bool) -> Self {
+        Self { result: ClaimResult::Unavailable, pending }
     }
 }
 
-/// One thing to record.
+/// One change to record.
 pub(crate) struct Op {
     pub(crate) claim: Claim,
-    pub(crate) by: Holder,
-    /// When to give up.
-    pub(crate) until: Ms,
-    /// When it came in.
-    pub(crate) since: Ms,
-    /// A write that holds it was sent under the condition of this version. It is not known to be
-    /// lost, and whoever asked wasn't told that it took effect.
-    pub(crate) open: Option<Version>,
+    pub(crate) holder: Holder,
+    /// When the writer gives up.
+    pub(crate) deadline: Ms,
+    /// When it was queued; set anew when it has to wait for a record.
+    pub(crate) queued: Ms,
+    /// The expected version of a write with this op that was sent, isn't known to have failed, and
+    /// whose success wasn't reported to the requester.
+    pub(crate) pending: Option<Version>,
     pub(crate) kind: OpKind,
 }
 
-/// What to record, and whom to tell.
+/// What to record, and where to send the reply.
 pub(crate) enum OpKind {
-    /// That an attempt starts.
-    Start(oneshot::Sender<Claimed>),
-    /// How it ended.
+    /// An attempt starts.
+    Start(oneshot::Sender<ClaimReply>),
+    /// An attempt ended.
     Finish(Outcome, oneshot::Sender<Result<(), JournalError>>),
-    /// That its own host has given it up.
+    /// An attempt was given up by its own host.
     Abandon,
 }
 
 impl Op {
-    /// Whether somebody waits for it before work goes on.
+    /// Whether a caller is waiting for it.
     pub(crate) fn urgent(&self) -> bool {
         matches!(self.kind, OpKind::Start(_))
     }
 
-    /// Ends it without a record.
+    /// Replies that nothing could be recorded.
     pub(crate) fn fail(self) {
-        // Whoever asked may have gone.
+        // The requester may no longer wait for the reply.
         match self.kind {
-            OpKind::Start(reply) => _ = reply.send(Claimed::refused(self.open.is_some())),
+            OpKind::Start(reply) => _ = reply.send(ClaimReply::refused(self.pending.is_some())),
             OpKind::Finish(_, reply) => _ = reply.send(Err(JournalError::Unavailable)),
             OpKind::Abandon => {}
         }
     }
 }
 
-/// How one op fares against the records.
+/// The result of applying one op to the records.
 #[derive(Clone, Debug, PartialEq)]
-pub(crate) enum Fate {
-    /// A claim's answer.
+pub(crate) enum OpResult {
+    /// The result of a claim.
     Claimed(ClaimResult),
-    /// A finish's answer.
+    /// The result of a finish.
     Finished(Result<(), JournalError>),
-    /// An abandoned claim can't be made any more.
+    /// The claim is abandoned and can no longer be granted.
     Abandoned,
-    /// There is nothing to end yet; the claim may still be on its way.
-    Later,
+    /// There is no record to finish yet; the claim may still be on its way.
+    Deferred,
 }
 
 impl Op {
-    /// Tells whoever asked. Gives the op back when it has to wait.
-    pub(crate) fn answer(self, fate: Fate) -> Option<Self> {
-        match (self.kind, fate) {
-            (OpKind::Start(reply), Fate::Claimed(granted)) => {
-                _ = reply.send(Claimed { granted, open: false });
+    /// Replies to the requester. Returns the op if it has to wait.
+    pub(crate) fn reply(self, op_result: OpResult) -> Option<Self> {
+        match (self.kind, op_result) {
+            (OpKind::Start(reply), OpResult::Claimed(result)) => {
+                _ = reply.send(ClaimReply { result, pending: false });
                 None
             }
-            (OpKind::Finish(_, reply), Fate::Finished(result)) => {
+            (OpKind::Finish(_, reply), OpResult::Finished(result)) => {
                 _ = reply.send(result);
                 None
             }
--- a/crates/journal/src/writer.rs
+++ b/crates/journal/src/writer.rs
@@ -1,4 +1,5 @@
-//! The writer of one shard object: many keys in each conditional write, one write at a time.
+//! The writer of one shard object. It puts many keys into each conditional write, and makes one
+//! write at a time.
 
 use base::{ChangeId, Ms, Version};
 use std::sync::Arc;
@@ -7,59 +8,59 @@
 use tokio::time::{Instant, sleep_until, timeout};
 
 use crate::ClaimResult;
-use crate::book::{Book, Look};
-use crate::layout::Agreed;
-use crate::op::{Fate, Op, OpKind};
+use crate::apply::{Applied, apply_all, is_final, recorded_result};
+use crate::layout::Agreement;
+use crate::op::{Op, OpKind, OpResult};
+use crate::records::{KeyState, ShardRecords};
 use crate::shared::Shared;
-use crate::weigh::{Weighed, settled, told, weigh};
 
 /// Kind of the shard objects.
 pub const SHARD_KIND: &str = "journal";
-/// How long an outcome may wait for a claim to share a write with. Nobody waits for it: the
-/// caller has its answer. A re-send in between reads `running`.
-const FINISH_MS: Ms = Ms(250);
-/// Shortest wait after a failed write; doubled up to [`RETRY_MOST`].
-const RETRY_LEAST: Ms = Ms(20);
-/// Longest wait after a failed write.
-const RETRY_MOST: Ms = Ms(320);
-/// A shard that nobody asked about for so long is read again when it is next needed.
+/// Longest time that an outcome waits to share a write with a claim. Nobody waits for it, as the
+/// caller already has its answer; a re-send in between reads `running`.
+const FINISH_DELAY_MS: Ms = Ms(250);
+/// Back-off after the first failed write, doubled up to [`MAX_RETRY_MS`].
+const MIN_RETRY_MS: Ms = Ms(20);
+/// Longest back-off after a failed write.
+const MAX_RETRY_MS: Ms = Ms(320);
+/// After this long without an op the cached records are dropped, and read again when next needed.
 const IDLE_MS: Ms = Ms::secs(60);
-/// Ops that wait in one shard; more are refused at once.
-const QUEUE: usize = 8192;
-/// How long a shard that is closed tries to write what is left.
-const CLOSE_MS: Ms = Ms::secs(2);
+/// Longest queue of a shard; further ops are refused at once.
+const MAX_QUEUED_OPS: usize = 8192;
+/// How long a writer tries to write its queue after the journal is closed.
+const CLOSE_TIMEOUT_MS: Ms = Ms::secs(2);
 
-/// One shard's writer.
+/// The writer of one shard.
 pub(crate) struct Writer {
     shared: Arc<Shared>,
     shard: u32,
     name: String,
     ops: mpsc::UnboundedReceiver<Op>,
     queue: Vec<Op>,
-    /// The records as last read or written, with their version. Kept when they may be old, since
-    /// what ended stays ended and can be told in an outage.
-    held: Option<(Version, Book)>,
-    /// Whether `held` is the newest as far as is known.
-    valid: bool,
-    /// Whether `held` was read in this round.
-    fresh: bool,
-    /// The newest version known of; a read below it is stale.
-    seen: Version,
-    wrote: Option<Instant>,
+    /// The records as last read or written, with their version. They are kept even when they may be
+    /// outdated: a request that ended stays ended, so its result can be given during an outage.
+    cached: Option<(Version, ShardRecords)>,
+    /// Whether `cached` is the newest version, as far as is known.
+    cache_valid: bool,
+    /// Whether `cached` was read in this round.
+    read_this_round: bool,
+    /// The newest version known; a read of a lower one is stale.
+    newest_version: Version,
+    last_write: Option<Instant>,
     failures: u32,
-    retry: Option<Instant>,
-    /// The platform failed a moment ago: claims are refused until `retry`.
-    down: bool,
+    retry_at: Option<Instant>,
+    /// The object API failed in the last round: claims are refused until `retry_at`.
+    unavailable: bool,
     closing: bool,
 }
 
 /// How one round of a writer ended.
 enum Round {
-    /// What could be answered was.
+    /// All ops that could be answered were.
     Done,
-    /// Another writer was first, or the outcome is open.
-    Again,
-    /// The platform can't be used now.
+    /// Another writer was first, the outcome of the write is unknown, or a read was stale.
+    Retry,
+    /// The object API can't be used now.
     Failed,
 }
 
@@ -71,37 +72,37 @@
             name: format!("shard-{shard}"),
             ops,
             queue: Vec::new(),
-            held: None,
-            valid: false,
-            fresh: false,
-            seen: Version(0),
-            wrote: None,
+            cached: None,
+            cache_valid: false,
+            read_this_round: false,
+            newest_version: Version(0),
+            last_write: None,
             failures: 0,
-            retry: None,
-            down: false,
+            retry_at: None,
+            unavailable: false,
             closing: false,
         }
     }
 
-    /// Runs until the journal is closed and nothing is left, or can't be written.
+    /// Runs until the journal is closed and the queue is empty or has expired.
     pub(crate) async fn run(mut self) {
         while self.collect().await {
-            self.expire();
+            self.expire_ops();
             if self.queue.is_empty() {
                 continue;
             }
-            self.fresh = false;
-            let round = self.round().await;
-            self.down = matches!(round, Round::Failed);
+            self.read_this_round = false;
+            let round = self.run_round().await;
+            self.unavailable = matches!(round, Round::Failed);
             match round {
                 Round::Done => {
                     self.failures = 0;
-                    self.retry = None;
+                    self.retry_at = None;
                 }
-                Round::Again => self.back_off(),
+                Round::Retry => self.back_off(),
                 Round::Failed => {
                     self.back_off();
-                    self.refuse();
+                    self.refuse_claims();
                 }
             }
         }
@@ -111,221 +112,236 @@
     async fn collect(&mut self) -> bool {
         if self.queue.is_empty() {
             match timeout(IDLE_MS.duration(), self.ops.recv()).await {
-                Ok(Some(op)) => self.push(op),
+                Ok(Some(op)) => self.enqueue(op),
                 Ok(None) => return false,
-                Err(_) => (self.held, self.valid) = (None, false),
+                Err(_) => (self.cached, self.cache_valid) = (None, false),
             }
         }
         while !self.closing {
-            let Some(due) = self.due() else { break };
-            if due <= Instant::now() {
+            let Some(next_write) = self.next_write() else { break };
+            if next_write <= Instant::now() {
                 break;
             }
-            let rest = due - Instant::now();
+            let rest = next_write - Instant::now();
             match timeout(rest, self.ops.recv()).await {
-                Ok(Some(op)) => self.push(op),
+                Ok(Some(op)) => self.enqueue(op),
                 Ok(None) => self.close(),
                 Err(_) => break,
             }
         }
         if self.closing
-            && let Some(retry) = self.retry
+            && let Some(retry_at) = self.retry_at
         {
-            sleep_until(retry).await;
+            sleep_until(retry_at).await;
         }
         while let Ok(op) = self.ops.try_recv() {
-            self.push(op);
+            self.enqueue(op);
         }
         true
     }
 
-    fn push(&mut self, op: Op) {
-        let down = self.down && self.retry.is_some_and(|at| Instant::now() < at);
+    fn enqueue(&mut self, op: Op) {
+        let unavailable = self.unavailable && self.retry_at.is_some_and(|at| Instant::now() < at);
         match op.kind {
-            _ if self.queue.len() >= QUEUE => op.fail(),
-            OpKind::Start(_) if down => self.refuse_one(op),
+            _ if self.queue.len() >= MAX_QUEUED_OPS => op.fail(),
+            OpKind::Start(_) if unavailable => self.refuse_claim(op),
             _ => self.queue.push(op),
         }
     }
 
-    /// What is left is written at once, within a bound.
+    /// Makes the writer write its queue at once, within `CLOSE_TIMEOUT_MS`.
     fn close(&mut self) {
         self.closing = true;
-        let until = self.shared.clock.now() + CLOSE_MS;
+        let deadline = self.shared.clock.now() + CLOSE_TIMEOUT_MS;
         for op in &mut self.queue {
-            op.until = op.until.min(until);
+            op.deadline = op.deadline.min(deadline);
         }
     }
 
-    /// When to write next: a claim as soon as the pace allows, an outcome after its wait.
+    /// When to write next: for a claim as soon as the minimum interval between writes allows, for
+    /// an outcome after its delay.
     ///
-    /// Without the pace each claim would be a write of its own, and a burst would spend the
-    /// platform's few hundred writes a second. With it, a claim that comes after a quiet time
-    /// waits for nothing.
-    fn due(&self) -> Option<Instant> {
+    /// Without the interval each claim would be a write of its own, and a burst would use up the
+    /// platform's few hundred writes a second. A claim after an idle period doesn't wait.
+    fn next_write(&self) -> Option<Instant> {
         let now = Instant::now();
-        let pace = self.wrote.map_or(now, |at| at + self.shared.rules.commit_ms.duration());
+        let earliest =
+            self.last_write.map_or(now, |at| at + self.shared.rules.commit_ms.duration());
         let wait = match self.queue.iter().any(Op::urgent) {
             true => now,
             false => {
-                let since = self.queue.iter().map(|op| op.since).min()?;
-                now + (since + FINISH_MS - self.shared.clock.now()).duration()
+                let queued = self.queue.iter().map(|op| op.queued).min()?;
+                now + (queued + FINISH_DELAY_MS - self.shared.clock.now()).duration()
             }
         };
-        let retry = self.retry.unwrap_or(now);
-        Some(pace.max(wait).max(retry))
+        let retry_at = self.retry_at.unwrap_or(now);
+        Some(earliest.max(wait).max(retry_at))
     }
 
-    /// Doubles from one failure to the next. The spread keeps two writers that met once from
-    /// meeting again; it is drawn from names, so that a run can be repeated.
+    /// Sets the time of the next try. The back-off doubles with each failure. Its jitter keeps two
+    /// writers that conflicted once from conflicting again; it is derived from names, so that a run
+    /// can be reproduced.
     fn back_off(&mut self) {
         self.failures += 1;
-        let most = (RETRY_LEAST.0 << (self.failures - 1).min(8)).min(RETRY_MOST.0);
-        let tries = self.failures.to_le_bytes();
-        let draw =
-            base::hash_parts(&[self.shared.me.host.as_bytes(), self.name.as_bytes(), &tries]);
-        let wait = Ms(most / 2 + draw % (most / 2 + 1));
-        self.retry = Some(Instant::now() + wait.duration());
+        let max = (MIN_RETRY_MS.0 << (self.failures - 1).min(8)).min(MAX_RETRY_MS.0);
+        let failures = self.failures.to_le_bytes();
+        let jitter = base::hash_parts(&[
+            self.shared.own_holder.host.as_bytes(),
+            self.name.as_bytes(),
+            &failures,
+        ]);
+        let wait = Ms(max / 2 + jitter % (max / 2 + 1));
+        self.retry_at = Some(Instant::now() + wait.duration());
     }
 
-    fn expire(&mut self) {
+    fn expire_ops(&mut self) {
         let now = self.shared.clock.now();
-        for op in self.queue.extract_if(.., |op| op.until <= now) {
+        for op in self.queue.extract_if(.., |op| op.deadline <= now) {
             op.fail();
         }
     }
 
-    /// The platform can't be used: claims of which nothing was sent are refused at once, the
-    /// others wait for their outcome.
-    fn refuse(&mut self) {
+    /// Called when the object API can't be used: refuses claims of which nothing was sent at once,
+    /// while the other ops keep waiting for their outcome.
+    fn refuse_claims(&mut self) {
         for op in std::mem::take(&mut self.queue) {
             match op.urgent() {
-                true => self.refuse_one(op),
+                true => self.refuse_claim(op),
                 false => self.queue.push(op),
             }
         }
     }
 
-    /// What is recorded already is told also in an outage: a record stays, unless its own host
-    /// releases it, and then the caller asks again.
-    fn refuse_one(&mut self, op: Op) {
-        let told = self.held.as_ref().and_then(|(_, book)| told(&self.shared, book, &op));
-        match told {
-            _ if op.open.is_some() => self.queue.push(op),
-            Some(fate) => _ = op.answer(fate),
+    /// Answers a claim from the cached records if it can, also during an outage: a record stays as
+    /// it is unless its own host releases it, and then the caller tries again. Otherwise the claim
+    /// is refused, or stays queued if a write with it was sent.
+    fn refuse_claim(&mut self, op: Op) {
+        let known = self
+            .cached
+            .as_ref()
+            .and_then(|(_, records)| recorded_result(&self.shared, records, &op));
+        match known {
+            _ if op.pending.is_some() => self.queue.push(op),
+            Some(result) => _ = op.reply(result),
             None => op.fail(),
         }
     }
 
-    /// Reads the shard. A read may lag behind one that came before; then it is asked again later.
+    /// Reads the shard. A read may be older than an earlier one; then the round is repeated later.
     async fn load(&mut self) -> Result<(), Round> {
         let read = self.shared.api.get(SHARD_KIND, &self.name).await;
         let object = read.map_err(|_| Round::Failed)?;
         let version = Version(object.as_ref().map_or(0, |o| o.version));
-        if version < self.seen {
-            return Err(Round::Again);
+        if version < self.newest_version {
+            return Err(Round::Retry);
         }
-        let book = match &object {
-            None => Book::default(),
-            Some(object) => Book::parse(&object.body).ok_or(Round::Failed)?,
+        let records = match &object {
+            None => ShardRecords::default(),
+            Some(object) => ShardRecords::parse(&object.body).ok_or(Round::Failed)?,
         };
-        self.keep(version, book);
-        self.fresh = true;
+        self.update_cache(version, records);
+        self.read_this_round = true;
         Ok(())
     }
 
-    fn keep(&mut self, version: Version, book: Book) {
-        // A newer version without the claim's record shows that the write in doubt is lost. One
-        // with it shows that it landed: the claim stays open until it is told so.
+    fn update_cache(&mut self, version: Version, records: ShardRecords) {
+        // A newer version without the claim's record shows that the write with the unknown outcome
+        // did not take effect. One with the record shows that it did: the claim stays pending until
+        // it is answered.
         for op in &mut self.queue {
-            op.open = op.open.filter(|at| *at >= version || book.look(&op.claim) == Look::Mine);
+            op.pending = op.pending.filter(|at| {
+                *at >= version || records.key_state(&op.claim) == KeyState::OwnAttempt
+            });
         }
-        self.seen = self.seen.max(version);
-        self.held = Some((version, book));
-        self.valid = true;
+        self.newest_version = self.newest_version.max(version);
+        self.cached = Some((version, records));
+        self.cache_valid = true;
     }
 
-    async fn round(&mut self) -> Round {
-        match self.attempt().await {
+    async fn run_round(&mut self) -> Round {
+        match self.try_round().await {
             Ok(()) => Round::Done,
             Err(round) => round,
         }
     }
 
-    async fn attempt(&mut self) -> Result<(), Round> {
-        match self.shared.agree().await {
-            Agreed::Yes => {}
-            Agreed::No | Agreed::Down => return Err(Round::Failed),
-            Agreed::Again => return Err(Round::Again),
+    async fn try_round(&mut self) -> Result<(), Round> {
+        match self.shared.check_layout().await {
+            Agreement::Same => {}
+            Agreement::Different | Agreement::Unavailable => return Err(Round::Failed),
+            Agreement::Retry => return Err(Round::Retry),
         }
-        if !self.valid {
+        if !self.cache_valid {
             self.load().await?;
         }
-        let mut weighed = weigh(&self.shared, self.held.as_ref(), &self.queue);
-        if !weighed.changed && !self.fresh && !weighed.fates.iter().all(settled) {
+        let mut applied = apply_all(&self.shared, self.cached.as_ref(), &self.queue);
+        if !applied.changed && !self.read_this_round && !applied.results.iter().all(is_final) {
             self.load().await?;
-            weighed = weigh(&self.shared, self.held.as_ref(), &self.queue);
+            applied = apply_all(&self.shared, self.cached.as_ref(), &self.queue);
         }
-        let Weighed { book, fates, changed } = weighed;
-        let fates = self.answer_settled(fates);
-        if changed && !fates.is_empty() {
-            self.commit(book, &fates).await?;
+        let Applied { records, results, changed } = applied;
+        let results = self.reply_final(results);
+        if changed && !results.is_empty() {
+            self.commit(records, &results).await?;
         }
-        self.answer(fates);
+        self.reply_all(results);
         Ok(())
     }
 
-    /// What stays true whatever becomes of the write is told before it.
-    fn answer_settled(&mut self, fates: Vec<Fate>) -> Vec<Fate> {
+    /// Answers the ops whose result stays true whatever becomes of the write, and returns the
+    /// results of the others.
+    fn reply_final(&mut self, results: Vec<OpResult>) -> Vec<OpResult> {
         let mut rest = Vec::new();
-        for (op, fate) in std::mem::take(&mut self.queue).into_iter().zip(fates) {
-            if settled(&fate) {
-                let _ = op.answer(fate);
+        for (op, result) in std::mem::take(&mut self.queue).into_iter().zip(results) {
+            if is_final(&result) {
+                let _ = op.reply(result);
             } else {
                 self.queue.push(op);
-                rest.push(fate);
+                rest.push(result);
             }
         }
         rest
     }
 
-    /// One conditional write. An op is told only what a version that is known to be there says.
+    /// Makes one conditional write. An op is told only what is in a version that is known to exist.
     ///
-    /// Whether a write in doubt took effect is never guessed: the shard is read again, and each
-    /// op is held against what is found. As long as the version is still the old one the write may
-    /// be on its way, so the next write has the same condition, and only one of the two can land.
-    async fn commit(&mut self, book: Book, fates: &[Fate]) -> Result<(), Round> {
-        let expected = self.held.as_ref().map_or(Version(0), |(version, _)| *version);
-        let body = book.body(self.shard, &ChangeId::fresh().to_string());
-        self.wrote = Some(Instant::now());
+    /// Whether a write with a lost response took effect is never guessed: the shard is read again,
+    /// and each op is compared with what is found. As long as the version is still the old one, the
+    /// write may still be under way. The next write then has the same condition, so that only one
+    /// of the two can take effect.
+    async fn commit(&mut self, records: ShardRecords, results: &[OpResult]) -> Result<(), Round> {
+        let expected = self.cached.as_ref().map_or(Version(0), |(version, _)| *version);
+        let body = records.body(self.shard, &ChangeId::fresh().to_string());
+        self.last_write = Some(Instant::now());
         match self.shared.api.put(SHARD_KIND, &self.name, expected, &body).await {
             Ok(version) => {
-                self.keep(version, book);
+                self.update_cache(version, records);
                 Ok(())
             }
             Err(StoreError::Conflict { current }) => {
-                self.seen = self.seen.max(current);
-                self.valid = false;
-                Err(Round::Again)
+                self.newest_version = self.newest_version.max(current);
+                self.cache_valid = false;
+                Err(Round::Retry)
             }
             Err(StoreError::OutcomeUnknown) => {
-                let granted = |fate: &Fate| *fate == Fate::Claimed(ClaimResult::Granted);
-                let ops = self.queue.iter_mut().zip(fates);
-                for (op, _) in ops.filter(|(_, fate)| granted(fate)) {
-                    op.open = Some(expected);
+                let is_granted =
+                    |result: &OpResult| *result == OpResult::Claimed(ClaimResult::Granted);
+                let ops = self.queue.iter_mut().zip(results);
+                for (op, _) in ops.filter(|(_, result)| is_granted(result)) {
+                    op.pending = Some(expected);
                 }
-                self.valid = false;
-                Err(Round::Again)
+                self.cache_valid = false;
+                Err(Round::Retry)
             }
             Err(_) => Err(Round::Failed),
         }
     }
 
-    /// Tells each op its fate; those that must wait for a record do so for a while.
-    fn answer(&mut self, fates: Vec<Fate>) {
+    /// Replies to each op; those that have to wait for a record stay queued.
+    fn reply_all(&mut self, results: Vec<OpResult>) {
         let now = self.shared.clock.now();
-        let ops = std::mem::take(&mut self.queue).into_iter().zip(fates);
-        let rest = ops.filter_map(|(op, fate)| op.answer(fate));
-        self.queue = rest.map(|op| Op { since: now, ..op }).collect();
+        let ops = std::mem::take(&mut self.queue).into_iter().zip(results);
+        let rest = ops.filter_map(|(op, result)| op.reply(result));
+        self.queue = rest.map(|op| Op { queued: now, ..op }).collect();
     }
 }
