--- a/crates/journal/tests/sim/mutation.rs
+++ b/crates/journal/tests/sim/mutation.rs
@@ -1,4 +1,4 @@
-//! Test doubles that each take one safeguard out.
+//! An object API that removes one safeguard of the journal, and the list of such mutations.
 
 use async_trait::async_trait;
 use base::{Ms, Version};
@@ -6,54 +6,55 @@
 use store::{Api, StoreError};
 use wire::{Object, ObjectList, RecordState, Shard};
 
-/// The object that says which shards there are.
-const LAYOUT: &str = "layout";
+/// Name of the object that holds the journal's layout.
+const LAYOUT_NAME: &str = "layout";
 
-/// Which safeguard is missing.
+/// The safeguard that is removed.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 pub enum Mutation {
-    /// Writes without the condition.
+    /// Writes have no condition on the object's version.
     Unconditional,
-    /// The first byte is sent before the record is made.
-    SendFirst,
-    /// An attempt runs although its record couldn't be made.
-    RunRefused,
-    /// A started record of a host that is not known to be alive is taken for free.
-    TakeOver,
-    /// Which keys were forgotten isn't kept.
-    NoFloor,
-    /// The preferred writer releases what it couldn't record, for a host that asks elsewhere then.
+    /// The first byte is sent before the claim is recorded.
+    SendBeforeRecord,
+    /// An attempt runs although its claim couldn't be recorded.
+    RunWithoutRecord,
+    /// The key of a started record counts as free, as if its host were dead.
+    TakeOverStarted,
+    /// The time up to which records were dropped is lost.
+    ForgetDropped,
+    /// The preferred writer releases a claim that it couldn't record, although the entry host then
+    /// tries elsewhere.
     WriterReleases,
-    /// A lost answer counts as not written.
-    DoubtIsNo,
-    /// An abandoned claim leaves no mark, so that it can still be made.
-    NoMark,
-    /// A sent attempt whose target died is released.
+    /// A write whose response was lost counts as not written.
+    UnknownIsFailure,
+    /// Giving up a claim leaves no record, so that the claim can still be granted.
+    NoAbandonRecord,
+    /// An attempt that was sent and whose target died is released.
     ReleaseSent,
-    /// Hosts whose settings differ don't notice.
-    OwnLayout,
-    /// How an attempt ended is never recorded.
+    /// Hosts don't compare their layout with the fleet's.
+    LayoutUnchecked,
+    /// Outcomes are never recorded.
     NoFinish,
 }
 
 /// An object API without one of the safeguards.
-pub struct Mutant {
+pub struct MutantApi {
     pub inner: Arc<dyn Api>,
     pub mutation: Option<Mutation>,
 }
 
-impl Mutant {
-    fn read(&self, mut object: Object) -> Object {
-        if object.name == LAYOUT {
+impl MutantApi {
+    fn mutate(&self, mut object: Object) -> Object {
+        if object.name == LAYOUT_NAME {
             return object;
         }
         let Ok(mut shard) = serde_json::from_str::<Shard>(&object.body) else { return object };
         match self.mutation {
-            Some(Mutation::NoFloor) => shard.dropped_ms = 0,
-            Some(Mutation::TakeOver) => {
+            Some(Mutation::ForgetDropped) => shard.dropped_ms = 0,
+            Some(Mutation::TakeOverStarted) => {
                 shard.records.retain(|r| r.state() != RecordState::Started);
             }
-            Some(Mutation::NoMark) => {
+            Some(Mutation::NoAbandonRecord) => {
                 shard.records.retain(|r| r.state() != RecordState::Released);
             }
             _ => return object,
@@ -64,12 +65,12 @@
 }
 
 #[async_trait]
-impl Api for Mutant {
+impl Api for MutantApi {
     async fn get(&self, kind: &str, name: &str) -> Result<Option<Object>, StoreError> {
-        if name == LAYOUT && self.mutation == Some(Mutation::OwnLayout) {
+        if name == LAYOUT_NAME && self.mutation == Some(Mutation::LayoutUnchecked) {
             return Ok(None);
         }
-        Ok(self.inner.get(kind, name).await?.map(|o| self.read(o)))
+        Ok(self.inner.get(kind, name).await?.map(|o| self.mutate(o)))
     }
 
     async fn list(&self, kind: &str) -> Result<ObjectList, StoreError> {
@@ -83,7 +84,7 @@
         expected: Version,
         body: &str,
     ) -> Result<Version, StoreError> {
-        if name == LAYOUT && self.mutation == Some(Mutation::OwnLayout) {
+        if name == LAYOUT_NAME && self.mutation == Some(Mutation::LayoutUnchecked) {
             return Ok(Version(1));
         }
         let mut result = self.inner.put(kind, name, expected, body).await;
@@ -93,7 +94,9 @@
             }
         }
         match result {
-            Err(StoreError::OutcomeUnknown) if self.mutation == Some(Mutation::DoubtIsNo) => {
+            Err(StoreError::OutcomeUnknown)
+                if self.mutation == Some(Mutation::UnknownIsFailure) =>
+            {
                 Err(StoreError::Down)
             }
             result => result,
--- a/crates/journal/tests/sim/oracle.rs
+++ b/crates/journal/tests/sim/oracle.rs
@@ -1,53 +1,56 @@
-//! What must hold of a run, and the naive journal that it is compared with.
+//! The rules that hold for each run, and a naive host that gives the expected answers.
 
 use base::{Ms, RequestId};
 use policy::Ran;
 use std::collections::BTreeMap;
 
-/// What a caller was told.
+/// The response that a caller got.
 #[derive(Clone, Debug, PartialEq, Eq)]
-pub enum Told {
-    Whole(String),
+pub enum Response {
+    Answered(String),
     Refused(Ran),
-    /// Its host died.
-    Nothing,
+    /// None, as the host died.
+    HostDied,
 }
 
-/// One request, in the order in which they were sent.
+/// One request.
 #[derive(Clone, Debug)]
-pub struct Asked {
+pub struct Request {
     pub key: usize,
     pub attempt: RequestId,
-    pub told: Option<(Ms, Told)>,
+    pub response: Option<(Ms, Response)>,
     /// When its first byte reached a target.
-    pub ran: Option<Ms>,
+    pub ran_at: Option<Ms>,
 }
 
-/// All that happened.
+/// Everything that happened in a run. Requests are in the order in which they were sent.
 #[derive(Clone, Debug, Default)]
 pub struct History {
-    pub asked: Vec<Asked>,
+    pub requests: Vec<Request>,
     pub kills: u32,
 }
 
-/// A broken promise.
+/// A violated rule.
 #[derive(Clone, Debug, PartialEq, Eq)]
 pub enum Violation {
     /// A key ran more than once.
-    Twice { key: usize },
-    /// A request was told that it didn't run, and it did, or an earlier one of its key had.
-    FalseNo { key: usize },
-    /// A caller got another answer than the one host that never fails would give.
-    Differs { key: usize, got: String },
-    /// Healed, and no host was killed: a key that never ran can't be run.
-    Stuck { key: usize, told: Told },
-    /// Healed, and no host was killed: the kept answer isn't given.
-    Forgotten { key: usize, told: Told },
-    /// A request never got any answer from a host that is alive.
+    RanTwice { key: usize },
+    /// A request was told that it didn't run, although it or an earlier request of its key did.
+    FalseNotRun { key: usize },
+    /// A caller got another answer than a single host that never fails would give.
+    WrongAnswer { key: usize, got: String },
+    /// After all faults ended, in a run in which no host was killed: a key that never ran can't be
+    /// run.
+    Stuck { key: usize, response: Response },
+    /// After all faults ended, in a run in which no host was killed: a recorded answer isn't
+    /// returned.
+    AnswerLost { key: usize, response: Response },
+    /// A request got no response from a host that is alive.
     Unanswered { key: usize },
 }
 
-/// One host that never fails: the first request of a key runs it, and all get its answer.
+/// A single host that never fails: the first request of a key runs it, and all requests get its
+/// answer.
 #[derive(Default)]
 pub struct NaiveHost {
     runs: BTreeMap<usize, u32>,
@@ -60,31 +63,31 @@
     }
 }
 
-/// What the target answers to the `run`th run of a key.
+/// The target's answer to run number `run` of a key.
 pub fn answer(key: usize, run: u32) -> String {
     format!("signed {key}, entry {run}")
 }
 
-/// Checks a finished run.
+/// Checks the rules that hold in every run.
 pub fn check(history: &History) -> Result<(), Violation> {
     let mut naive = NaiveHost::default();
-    for (i, asked) in history.asked.iter().enumerate() {
-        let key = asked.key;
+    for (i, request) in history.requests.iter().enumerate() {
+        let key = request.key;
         let expected = naive.ask(key);
-        let same = || history.asked.iter().filter(|a| a.key == key);
-        if same().filter(|a| a.ran.is_some()).count() > 1 {
-            return Err(Violation::Twice { key });
+        let same = || history.requests.iter().filter(|a| a.key == key);
+        if same().filter(|a| a.ran_at.is_some()).count() > 1 {
+            return Err(Violation::RanTwice { key });
         }
-        match &asked.told {
+        match &request.response {
             None => return Err(Violation::Unanswered { key }),
-            Some((_, Told::Whole(got))) if *got != expected => {
-                return Err(Violation::Differs { key, got: got.clone() });
+            Some((_, Response::Answered(got))) if *got != expected => {
+                return Err(Violation::WrongAnswer { key, got: got.clone() });
             }
-            Some((at, Told::Refused(Ran::No))) => {
-                let before = history.asked[..i].iter().filter(|a| a.key == key);
-                let earlier = before.filter_map(|a| a.ran).any(|ran| ran <= *at);
-                if earlier || asked.ran.is_some() {
-                    return Err(Violation::FalseNo { key });
+            Some((at, Response::Refused(Ran::No))) => {
+                let before = history.requests[..i].iter().filter(|a| a.key == key);
+                let earlier = before.filter_map(|a| a.ran_at).any(|ran_at| ran_at <= *at);
+                if earlier || request.ran_at.is_some() {
+                    return Err(Violation::FalseNotRun { key });
                 }
             }
             Some(_) => {}
@@ -93,17 +96,18 @@
     Ok(())
 }
 
-/// Checks the requests that were sent one a key when all had healed, from `from` on.
+/// Checks the requests from index `from` on, which were sent after all faults had ended, one for
+/// each key.
 pub fn check_healed(history: &History, from: usize) -> Result<(), Violation> {
-    for last in history.asked[from..].iter().filter(|_| history.kills == 0) {
-        let before = || history.asked[..from].iter().filter(|a| a.key == last.key);
-        let whole = before().any(|a| matches!(a.told, Some((_, Told::Whole(_)))));
-        let ran = before().any(|a| a.ran.is_some());
-        let told = last.told.clone().map_or(Told::Nothing, |(_, told)| told);
-        match &told {
-            Told::Whole(_) => {}
-            _ if whole => return Err(Violation::Forgotten { key: last.key, told }),
-            _ if !ran => return Err(Violation::Stuck { key: last.key, told }),
+    for last in history.requests[from..].iter().filter(|_| history.kills == 0) {
+        let before = || history.requests[..from].iter().filter(|a| a.key == last.key);
+        let answered = before().any(|a| matches!(a.response, Some((_, Response::Answered(_)))));
+        let ran = before().any(|a| a.ran_at.is_some());
+        let response = last.response.clone().map_or(Response::HostDied, |(_, response)| response);
+        match &response {
+            Response::Answered(_) => {}
+            _ if answered => return Err(Violation::AnswerLost { key: last.key, response }),
+            _ if !ran => return Err(Violation::Stuck { key: last.key, response }),
             _ => {}
         }
     }
--- a/crates/journal/tests/sim/world.rs
+++ b/crates/journal/tests/sim/world.rs
@@ -1,4 +1,5 @@
-//! Hosts with the real journal, over links and a platform in memory.
+//! Hosts with the real journal, connected by simulated links to each other and to an in-memory
+//! platform.
 
 use async_trait::async_trait;
 use base::{Clock, DomainId, HostId, Ms};
@@ -15,12 +16,12 @@
 use tokio::time::{Instant, sleep};
 use wire::{Claim, Exchange, Finish, Grant, GrantKind};
 
-use super::mutation::{Mutant, Mutation};
+use super::mutation::{MutantApi, Mutation};
 
-/// Where the clocks start.
+/// Time at which the clocks start.
 pub const EPOCH: Ms = Ms(1_700_000_000_000);
 
-/// Everything that the hosts of a run share.
+/// State shared by the hosts of a run.
 pub struct World {
     pub store: Arc<MemStore>,
     pub start: Instant,
@@ -32,9 +33,10 @@
 struct Inner {
     rng: ChaCha8Rng,
     hosts: BTreeMap<usize, Arc<Host>>,
-    /// Until when a pair of hosts is cut, or one doesn't see the other.
+    /// When the cut between two hosts ends, and when a host that is hidden from another one is seen
+    /// again.
     cuts: BTreeMap<(usize, usize), Ms>,
-    blind: BTreeMap<(usize, usize), Ms>,
+    hidden: BTreeMap<(usize, usize), Ms>,
     died: BTreeMap<usize, Ms>,
 }
 
@@ -50,7 +52,7 @@
             rng: ChaCha8Rng::seed_from_u64(seed),
             hosts: BTreeMap::new(),
             cuts: BTreeMap::new(),
-            blind: BTreeMap::new(),
+            hidden: BTreeMap::new(),
             died: BTreeMap::new(),
         };
         let store = MemStore::new(seed);
@@ -62,15 +64,15 @@
         EPOCH + Ms(self.start.elapsed().as_millis() as u64)
     }
 
-    /// Starts a host, in place of its last run.
-    pub fn boot(self: &Arc<Self>, host: usize, skew: i64, rules: &JournalSettings) {
+    /// Starts a host, in place of its previous run.
+    pub fn start_host(self: &Arc<Self>, host: usize, skew: i64, rules: &JournalSettings) {
         let gate = Arc::new(Gate::new());
         let api: Arc<MemApi> = self.store.api(&name(host));
         let gated = Arc::new(GatedApi { inner: api, gate: gate.clone() });
-        let api = Arc::new(Mutant { inner: gated, mutation: self.mutation });
-        let clock = Arc::new(Skewed { world: self.clone(), skew });
+        let api = Arc::new(MutantApi { inner: gated, mutation: self.mutation });
+        let clock = Arc::new(SkewedClock { world: self.clone(), skew });
         let link = Arc::new(Link { world: self.clone(), from: host, gate: gate.clone() });
-        let view = Arc::new(Seen { world: self.clone(), by: host });
+        let view = Arc::new(HostView { world: self.clone(), observer: host });
         let config = ShardedConfig {
             host: HostId::from(name(host)),
             incarnation: self.now().0,
@@ -103,9 +105,9 @@
         self.lock().cuts.insert((a.min(b), a.max(b)), until);
     }
 
-    pub fn blind(&self, host: usize, other: usize, span: Ms) {
+    pub fn hide(&self, host: usize, other: usize, span: Ms) {
         let until = self.now() + span;
-        self.lock().blind.insert((host, other), until);
+        self.lock().hidden.insert((host, other), until);
     }
 
     fn is_cut(&self, a: usize, b: usize) -> bool {
@@ -113,8 +115,8 @@
         self.lock().cuts.get(&(a.min(b), a.max(b))).is_some_and(|until| *until > now)
     }
 
-    /// Time for one way over a link; now and then a long one.
-    fn hop(&self) -> Ms {
+    /// Delay of one direction of a link; 3 % of the delays are long.
+    fn link_delay(&self) -> Ms {
         let mut inner = self.lock();
         match inner.rng.random_range(0..100) {
             0..3 => Ms(inner.rng.random_range(500..3_000)),
@@ -135,33 +137,34 @@
     SocketAddr::from(([127, 0, 0, 1], 1 + host as u16))
 }
 
-struct Skewed {
+struct SkewedClock {
     world: Arc<World>,
     skew: i64,
 }
 
-impl Clock for Skewed {
+impl Clock for SkewedClock {
     fn now(&self) -> Ms {
         Ms(self.world.now().0.saturating_add_signed(self.skew))
     }
 }
 
-/// A host's view: the dead are seen for two seconds more.
-struct Seen {
+/// A host's view of the others. A dead host stays in it for two more seconds.
+struct HostView {
     world: Arc<World>,
-    by: usize,
+    observer: usize,
 }
 
-impl View for Seen {
+impl View for HostView {
     fn hosts(&self) -> Arc<[ViewHost]> {
         let now = self.world.now();
         let inner = self.world.lock();
-        let seen = |other: &usize| {
+        let is_seen = |other: &usize| {
             let gone = inner.died.get(other).is_some_and(|at| *at + Ms::secs(2) < now);
-            let blind = inner.blind.get(&(self.by, *other)).is_some_and(|until| *until > now);
-            *other == self.by || !(gone || blind)
+            let is_hidden =
+                inner.hidden.get(&(self.observer, *other)).is_some_and(|until| *until > now);
+            *other == self.observer || !(gone || is_hidden)
         };
-        let hosts = (0..self.world.hosts).filter(seen).map(|host| ViewHost {
+        let hosts = (0..self.world.hosts).filter(is_seen).map(|host| ViewHost {
             host: HostId::from(name(host)),
             domain: DomainId::from("one"),
             address: address(host),
@@ -171,7 +174,7 @@
     }
 }
 
-/// One run of a host's way to the others.
+/// The links to the other hosts during one run of a host.
 struct Link {
     world: Arc<World>,
     from: usize,
@@ -210,7 +213,7 @@
 }
 
 impl Link {
-    /// Carries a call over, and acts on it there also when nobody waits for its end any more.
+    /// Delivers a call. The receiver executes it even if the caller no longer waits for the reply.
     async fn call(&self, to: SocketAddr, call: Call) -> Result<Reply, PeerError> {
         self.gate.pass().await;
         let to = usize::from(to.port()) - 1;
@@ -221,13 +224,13 @@
             return Err(PeerError::Unreachable);
         }
         tokio::spawn(async move {
-            sleep(world.hop().duration()).await;
+            sleep(world.link_delay().duration()).await;
             let Some(host) = world.host(to) else { return };
             host.gate.pass().await;
             let reply = host.serve(call, world.mutation).await;
             host.gate.pass().await;
-            sleep(world.hop().duration()).await;
-            // A cut that came in between loses the answer.
+            sleep(world.link_delay().duration()).await;
+            // A cut that began in the meantime loses the reply.
             if world.is_cut(from, to) {
                 sleep(Ms::secs(3_600).duration()).await;
             }
