--- a/crates/journal/src/writer.rs
+++ b/crates/journal/src/writer.rs
@@ -303,7 +303,7 @@
         rest
     }
 
-    /// Makes one conditional write. An op is told only what is in a version that is known to exist.
+    /// Makes one conditional write. A reply is based only on a version that is known to exist.
     ///
     /// Whether a write with a lost response took effect is never guessed: the shard is read again,
     /// and each op is compared with what is found. As long as the version is still the old one, the
--- a/crates/journal/tests/once.rs
+++ b/crates/journal/tests/once.rs
@@ -23,16 +23,16 @@
 #[test]
 fn seeds_of_earlier_failures() {
     // 145, 1910, 29177: a host was told `running` because of a stale read, while its own write,
-    // whose response was lost, was still under way. The write took effect for nobody, and the key
-    // read `unknown` for good.
+    // whose response was lost, was still under way. The write then took effect although no host
+    // would run the key, which read `unknown` for good.
     // 39740, 70679: the writer read that such a write had taken effect, then lost the next race,
     // and let the claim expire as if it had never been sent.
     // 5077, 10398, 13799, 15623, 17148, 18252: the holder's outcome was checked against a stale
     // read, in which another attempt held the key, and was given up; the caller's re-send read
     // `unknown` in place of its answer.
     // 722, 1322, 1815, 1913, 2179, 2899, 3192: a claim that its host had given up was delayed
-    // until another attempt had taken the key and released it again. It then took the free key for
-    // nobody.
+    // until another attempt had taken the key and released it again. It then took the free key,
+    // although no host would run it.
     let seeds = [
         145, 722, 1_322, 1_815, 1_910, 1_913, 2_179, 2_899, 3_192, 5_077, 10_398, 13_799, 15_623,
         17_148, 18_252, 29_177, 39_740, 70_679,
