--- a/crates/journal/src/writer.rs
+++ b/crates/journal/src/writer.rs
@@ -288,7 +288,7 @@
         Ok(())
     }
 
-    /// Answers the ops whose result stays true whatever becomes of the write, and returns the
+    /// Answers, before the write, the ops whose result stays true whatever becomes of it. Returns the
     /// results of the others.
     fn reply_final(&mut self, results: Vec<OpResult>) -> Vec<OpResult> {
         let mut rest = Vec::new();
