--- a/crates/journal/src/direct.rs
+++ b/crates/journal/src/direct.rs
@@ -1,17 +1,18 @@
-//! One object a key: the plain way, and the baseline that the sharded journal is measured against.
+//! A journal with one object per key: the simple design, and the baseline against which the sharded
+//! journal is measured.
 
 use async_trait::async_trait;
 use base::{ChangeId, Clock, Key, Ms, RequestId, Version, WorkspaceId};
 use std::sync::Arc;
-use store::{Api, Change, StoreError, Written};
+use store::{Api, Change, StoreError, WriteOutcome};
 use wire::{Answer, Object, Record, RecordState};
 
-use crate::{Claim, Granted, Journal, JournalError, Outcome};
+use crate::{Claim, ClaimResult, Journal, JournalError, Outcome};
 
-/// Kind of the records' objects.
-const KIND: &str = "once";
+/// Kind of the objects that hold the records.
+const RECORD_KIND: &str = "once";
 
-/// One object a key, written by the entry host itself.
+/// A journal with one object per key, written by the entry host itself.
 pub struct Direct {
     api: Arc<dyn Api>,
     clock: Arc<dyn Clock>,
@@ -20,7 +21,7 @@
 }
 
 impl Direct {
-    /// Keys are remembered for `window` and may be `ahead` of this host's clock.
+    /// Keys are remembered for `window`, and their time may be `ahead` of this host's clock.
     pub fn new(api: Arc<dyn Api>, clock: Arc<dyn Clock>, window: Ms, ahead: Ms) -> Self {
         Self { api, clock, window, ahead }
     }
@@ -35,11 +36,11 @@
         claim: &Claim,
         expected: Version,
         record: &Record,
-    ) -> Result<Written, StoreError> {
-        let name = name(&claim.workspace, claim.key);
+    ) -> Result<WriteOutcome, StoreError> {
+        let name = object_name(&claim.workspace, claim.key);
         let body = serde_json::to_string(record).unwrap_or_default();
         let id = ChangeId(claim.attempt.0);
-        let change = Change { kind: KIND, name: &name, expected, id, body: &body };
+        let change = Change { kind: RECORD_KIND, name: &name, expected, id, body: &body };
         let state = record.state;
         store::write(self.api.as_ref(), change, |object, _| {
             parse(object)
@@ -65,24 +66,26 @@
 
 #[async_trait]
 impl Journal for Direct {
-    async fn register(&self, claim: &Claim) -> Granted {
+    async fn register(&self, claim: &Claim) -> ClaimResult {
         if self.expired(claim.key) {
-            return Granted::Expired;
+            return ClaimResult::Expired;
         }
         let record = self.record(claim, RecordState::Started, None);
         let mut expected = Version(0);
         for _ in 0..2 {
             match self.write(claim, expected, &record).await {
-                Ok(Written::Done(_)) => return Granted::Granted,
-                Ok(Written::Open) | Err(_) => return Granted::Unavailable,
-                Ok(Written::Lost { now: None }) => return Granted::Unavailable,
-                Ok(Written::Lost { now: Some(object) }) => match held(&object, claim.attempt) {
-                    Held::Free => expected = Version(object.version),
-                    Held::Taken(granted) => return granted,
-                },
+                Ok(WriteOutcome::Committed(_)) => return ClaimResult::Granted,
+                Ok(WriteOutcome::Unknown) | Err(_) => return ClaimResult::Unavailable,
+                Ok(WriteOutcome::Conflict { current: None }) => return ClaimResult::Unavailable,
+                Ok(WriteOutcome::Conflict { current: Some(object) }) => {
+                    match key_state(&object, claim.attempt) {
+                        KeyState::Free => expected = Version(object.version),
+                        KeyState::Taken(result) => return result,
+                    }
+                }
             }
         }
-        Granted::Running
+        ClaimResult::Running
     }
 
     async fn finish(&self, claim: &Claim, outcome: Outcome) -> Result<(), JournalError> {
@@ -91,39 +94,39 @@
             Outcome::Released => (RecordState::Released, None),
             Outcome::Lost => (RecordState::Lost, None),
         };
-        let name = name(&claim.workspace, claim.key);
-        let read = self.api.get(KIND, &name).await.map_err(|_| JournalError::Unavailable)?;
+        let name = object_name(&claim.workspace, claim.key);
+        let read = self.api.get(RECORD_KIND, &name).await.map_err(|_| JournalError::Unavailable)?;
         let object = read.ok_or(JournalError::NotHolder)?;
-        let held = parse(&object).ok_or(JournalError::NotHolder)?;
-        if held.attempt != claim.attempt.to_string() {
+        let current = parse(&object).ok_or(JournalError::NotHolder)?;
+        if current.attempt != claim.attempt.to_string() {
             return Err(JournalError::NotHolder);
         }
         let record = self.record(claim, state, answer);
         match self.write(claim, Version(object.version), &record).await {
-            Ok(Written::Done(_)) => Ok(()),
-            Ok(Written::Lost { .. }) => Err(JournalError::NotHolder),
-            Ok(Written::Open) | Err(_) => Err(JournalError::Unavailable),
+            Ok(WriteOutcome::Committed(_)) => Ok(()),
+            Ok(WriteOutcome::Conflict { .. }) => Err(JournalError::NotHolder),
+            Ok(WriteOutcome::Unknown) | Err(_) => Err(JournalError::Unavailable),
         }
     }
 
     async fn close(&self) {}
 }
 
-enum Held {
+enum KeyState {
     Free,
-    Taken(Granted),
+    Taken(ClaimResult),
 }
 
-fn held(object: &Object, attempt: RequestId) -> Held {
-    let Some(record) = parse(object) else { return Held::Taken(Granted::Unknown) };
+fn key_state(object: &Object, attempt: RequestId) -> KeyState {
+    let Some(record) = parse(object) else { return KeyState::Taken(ClaimResult::Unknown) };
     match (record.state(), record.answer) {
-        (RecordState::Released, _) => Held::Free,
+        (RecordState::Released, _) => KeyState::Free,
         (RecordState::Started, _) if record.attempt == attempt.to_string() => {
-            Held::Taken(Granted::Granted)
+            KeyState::Taken(ClaimResult::Granted)
         }
-        (RecordState::Started, _) => Held::Taken(Granted::Running),
-        (RecordState::Done, Some(answer)) => Held::Taken(Granted::Answered(answer)),
-        (RecordState::Done | RecordState::Lost, _) => Held::Taken(Granted::Unknown),
+        (RecordState::Started, _) => KeyState::Taken(ClaimResult::Running),
+        (RecordState::Done, Some(answer)) => KeyState::Taken(ClaimResult::Answered(answer)),
+        (RecordState::Done | RecordState::Lost, _) => KeyState::Taken(ClaimResult::Unknown),
     }
 }
 
@@ -131,6 +134,6 @@
     serde_json::from_str(&object.body).ok()
 }
 
-fn name(workspace: &WorkspaceId, key: Key) -> String {
+fn object_name(workspace: &WorkspaceId, key: Key) -> String {
     format!("{workspace}.{key}")
 }
