--- a/bins/siskinwheel-bench/src/capacity.rs
+++ b/bins/siskinwheel-bench/src/capacity.rs
@@ -7,7 +7,7 @@
 use hyper::{Request, StatusCode};
 use indicatif::ProgressBar;
 use link::{Pool, PoolConfig};
-use local::{Asking, Cluster, Options};
+use local::{Cluster, Options, RequestSpec};
 use model::{Size, synthetic};
 use pico_args::Arguments;
 use std::sync::Arc;
@@ -232,7 +232,7 @@
         host,
         PoolConfig { idle: at_once, connect_ms: SILENCE, ..PoolConfig::default() },
     ));
-    let asking = Asking { pipeline: "p", workspace: "w", input: "x", headers: &[] };
+    let asking = RequestSpec { pipeline: "p", workspace: "w", input: "x", headers: &[] };
     let request: Request<Bytes> = asking.request();
     let mut open = tokio::task::JoinSet::new();
     let start = Instant::now();
--- a/bins/siskinwheel-bench/src/path.rs
+++ b/bins/siskinwheel-bench/src/path.rs
@@ -9,7 +9,7 @@
 use hyper::{Method, Request, StatusCode};
 use indicatif::ProgressBar;
 use link::{Pool, PoolConfig};
-use local::{Asking, Cluster, Options};
+use local::{Cluster, Options, RequestSpec};
 use pico_args::Arguments;
 use std::net::SocketAddr;
 use std::sync::Arc;
@@ -125,7 +125,7 @@
 
 fn through(stages: usize) -> Request<Bytes> {
     let pipeline = format!("p{stages}");
-    let asking = Asking { pipeline: &pipeline, workspace: "w", input: "x", headers: &[] };
+    let asking = RequestSpec { pipeline: &pipeline, workspace: "w", input: "x", headers: &[] };
     asking.request()
 }
 
--- a/bins/siskinwheel-dev/src/main.rs
+++ b/bins/siskinwheel-dev/src/main.rs
@@ -5,7 +5,7 @@
 use base::Key;
 use conf::Fleet;
 use hyper::StatusCode;
-use local::{Asking, Cluster, Options};
+use local::{Cluster, Options, RequestSpec};
 use pico_args::Arguments;
 use std::process::ExitCode;
 use tracing_subscriber::EnvFilter;
@@ -91,7 +91,7 @@
     let key = Key::fresh().to_string();
     let headers = [("idempotency-key", key.as_str())];
     let input = format!("an example for {pipeline}");
-    let asking = Asking { pipeline, workspace, input: &input, headers: &headers };
+    let asking = RequestSpec { pipeline, workspace, input: &input, headers: &headers };
     let response = cluster.ask(host, &asking).await?;
     if response.status() != StatusCode::OK {
         bail!("{pipeline}: {}", String::from_utf8_lossy(response.body()));
--- a/crates/entry/tests/host/caller.rs
+++ b/crates/entry/tests/host/caller.rs
@@ -3,7 +3,7 @@
 use crate::small::{asking, json, start};
 use base::Ms;
 use hyper::StatusCode;
-use local::Asking;
+use local::RequestSpec;
 use std::net::SocketAddr;
 use tokio::io::{AsyncReadExt, AsyncWriteExt};
 use tokio::net::TcpStream;
@@ -23,7 +23,8 @@
 async fn each_malformed_request_has_its_code() {
     let cluster = start("limits: {body_bytes: 1000}").await;
     let long = "x".repeat(2000);
-    let ask = |pipeline, workspace, input, headers| Asking { pipeline, workspace, input, headers };
+    let ask =
+        |pipeline, workspace, input, headers| RequestSpec { pipeline, workspace, input, headers };
     let old = [("idempotency-key", "9f1b6f0e-3f6a-4b52-8a4e-0a3f6f1d2c11")];
     let cases = [
         (ask("nothing", "painters", "x", &[]), 404, "unknown_pipeline"),
--- a/crates/entry/tests/host/small.rs
+++ b/crates/entry/tests/host/small.rs
@@ -4,7 +4,7 @@
 use conf::Fleet;
 use fakes::TargetFaults;
 use hyper::Response;
-use local::{Asking, Cluster, Options};
+use local::{Cluster, Options, RequestSpec};
 use serde::de::DeserializeOwned;
 
 const FLEET: &str = include_str!("../small.yaml");
@@ -17,8 +17,8 @@
 }
 
 /// A request of the painters.
-pub fn asking<'a>(pipeline: &'a str, headers: &'a [(&'a str, &'a str)]) -> Asking<'a> {
-    Asking { pipeline, workspace: "painters", input: "grey cabinet", headers }
+pub fn asking<'a>(pipeline: &'a str, headers: &'a [(&'a str, &'a str)]) -> RequestSpec<'a> {
+    RequestSpec { pipeline, workspace: "painters", input: "grey cabinet", headers }
 }
 
 /// Sets the faults of one target.
--- a/crates/local/src/cluster.rs
+++ b/crates/local/src/cluster.rs
@@ -57,7 +57,7 @@
 
 /// A request to a host.
 #[derive(Clone, Copy, Debug)]
-pub struct Asking<'a> {
+pub struct RequestSpec<'a> {
     /// Which pipeline.
     pub pipeline: &'a str,
     /// Whose.
@@ -68,7 +68,7 @@
     pub headers: &'a [(&'a str, &'a str)],
 }
 
-impl Asking<'_> {
+impl RequestSpec<'_> {
     /// The HTTP request.
     pub fn request(&self) -> Request<Bytes> {
         let ask = Ask { input: self.input.to_owned(), ..Ask::default() };
@@ -158,7 +158,7 @@
     pub async fn ask(
         &self,
         host: usize,
-        asking: &Asking<'_>,
+        asking: &RequestSpec<'_>,
     ) -> Result<Response<Bytes>, LinkError> {
         call(self.hosts[host].listen(), asking.request()).await
     }
--- a/crates/local/src/lib.rs
+++ b/crates/local/src/lib.rs
@@ -4,5 +4,5 @@
 mod cluster;
 mod error;
 
-pub use cluster::{Asking, Cluster, Options};
+pub use cluster::{Cluster, Options, RequestSpec};
 pub use error::LocalError;
