--- a/crates/conf/src/plan.rs
+++ b/crates/conf/src/plan.rs
@@ -204,7 +204,7 @@
     }
 
     /// Whether any stage of the pipeline may not be repeated.
-    pub fn once(&self, pipeline: usize) -> bool {
+    pub fn has_unrepeatable(&self, pipeline: usize) -> bool {
         self.stages[pipeline].iter().any(|s| !s.repeatable)
     }
 
--- a/crates/conf/tests/examples.rs
+++ b/crates/conf/tests/examples.rs
@@ -35,7 +35,7 @@
         assert!((3..=6).contains(&sizes[service]), "{service}: a handful");
     }
     assert!(plan.fleet.cost_weight < 0.5, "attainment weighs more");
-    assert!(plan.once(plan.pipeline("job-sign-off").expect("it is declared")));
+    assert!(plan.has_unrepeatable(plan.pipeline("job-sign-off").expect("it is declared")));
 }
 
 #[test]
@@ -50,7 +50,7 @@
         assert!((3..=6).contains(&sizes[service]), "{service}: a handful");
     }
     assert!(plan.fleet.cost_weight > 0.5, "cost weighs more");
-    assert!(plan.once(plan.pipeline("book-order").expect("it is declared")));
+    assert!(plan.has_unrepeatable(plan.pipeline("book-order").expect("it is declared")));
 }
 
 #[test]
--- a/crates/entry/src/caller.rs
+++ b/crates/entry/src/caller.rs
@@ -148,7 +148,7 @@
     let workspace = WorkspaceId::from(workspace);
     let priority = priority(headers)?;
     let key = text(headers, "idempotency-key")?.map(Key::parse).transpose()?;
-    if key.is_none() && plan.once(pipeline) {
+    if key.is_none() && plan.has_unrepeatable(pipeline) {
         return Err(CallerError::KeyNeeded);
     }
     let resent = text(headers, RESENT)?.is_some_and(|v| v == "true");
--- a/crates/model/src/load.rs
+++ b/crates/model/src/load.rs
@@ -53,7 +53,7 @@
             max_tokens: stages.iter().map(|s| s.max_tokens).max().unwrap_or(0).min(self.limit()),
             prefix: self.prefix,
             fingerprint: number as u64 + 1,
-            keyed: plan.once(self.pipeline),
+            keyed: plan.has_unrepeatable(self.pipeline),
             resent: false,
         }
     }
