--- a/crates/edge/src/send.rs
+++ b/crates/edge/src/send.rs
@@ -5,7 +5,7 @@
 use hyper::Request;
 use hyper::body::Incoming;
 use hyper::http::response::Parts;
-use link::{Conn, Freshness, LinkError, full};
+use link::{Conn, ConnPolicy, LinkError, full};
 use sched::health::Outcome;
 use std::sync::Arc;
 use thiserror::Error;
@@ -124,11 +124,11 @@
 ) -> Result<Answered, SendFault> {
     let open = link.begin();
     let end = core.clock.now() + wait;
-    let mut conn = connect(link, Freshness::Reuse).await?;
+    let mut conn = connect(link, ConnPolicy::Reuse).await?;
     gate::pass(core, link).map_err(SendFault::Barred)?;
     let mut result = conn.send(build().map(full), end - core.clock.now()).await;
     if let Err(LinkError::Unsent) = result {
-        conn = connect(link, Freshness::New).await?;
+        conn = connect(link, ConnPolicy::New).await?;
         gate::pass(core, link).map_err(SendFault::Barred)?;
         result = conn.send(build().map(full), end - core.clock.now()).await;
     }
@@ -149,6 +149,6 @@
     Ok(Answered { head, parts, body, lease })
 }
 
-async fn connect(link: &Link, fresh: Freshness) -> Result<Conn, SendFault> {
+async fn connect(link: &Link, fresh: ConnPolicy) -> Result<Conn, SendFault> {
     link.pool.get(fresh).await.map_err(|_| SendFault::NoConnection)
 }
--- a/crates/entry/src/attempt.rs
+++ b/crates/entry/src/attempt.rs
@@ -3,7 +3,7 @@
 use base::{Attempt, RequestId};
 use bytes::{Buf, Bytes, BytesMut};
 use hyper::StatusCode;
-use link::{Freshness, LinkError};
+use link::{ConnPolicy, LinkError};
 use logs::{Event, note};
 use policy::{Fault, Usage};
 use serde::de::DeserializeOwned;
@@ -45,7 +45,7 @@
 }
 
 async fn run_once(core: &Core, job: &Job) -> Result<(), Fault> {
-    let fresh = if job.repeatable { Freshness::Reuse } else { Freshness::New };
+    let fresh = if job.repeatable { ConnPolicy::Reuse } else { ConnPolicy::New };
     let body = Bytes::from(serde_json::to_vec(&job.call).unwrap_or_default());
     let silence = job.bounds.silence;
     let mut line = core.dial().open(job.addr, fresh).await.map_err(|_| Fault::Connect)?;
@@ -55,7 +55,7 @@
     let mut head = line.send(body.clone(), silence).await;
     if let Err(LinkError::Unsent) = head {
         // The kept connection was closed before a byte was written; a new one is the first send.
-        let again = core.dial().open(job.addr, Freshness::New).await;
+        let again = core.dial().open(job.addr, ConnPolicy::New).await;
         line = again.map_err(|_| Fault::Connect)?;
         head = line.send(body, silence).await;
     }
--- a/crates/entry/src/dial.rs
+++ b/crates/entry/src/dial.rs
@@ -4,7 +4,7 @@
 use base::Ms;
 use bytes::Bytes;
 use hyper::StatusCode;
-use link::{Freshness, LinkError};
+use link::{ConnPolicy, LinkError};
 use std::net::SocketAddr;
 use wire::{StageCall, StageReply};
 
@@ -12,7 +12,7 @@
 #[async_trait]
 pub trait Dial: Send + Sync {
     /// A connection that can take a call now.
-    async fn open(&self, addr: SocketAddr, fresh: Freshness) -> Result<Box<dyn Line>, LinkError>;
+    async fn open(&self, addr: SocketAddr, fresh: ConnPolicy) -> Result<Box<dyn Line>, LinkError>;
 
     /// Asks on a new connection what became of a call.
     async fn probe(&self, addr: SocketAddr, call: &StageCall, bounds: Bounds) -> Probed;
--- a/crates/entry/src/targets.rs
+++ b/crates/entry/src/targets.rs
@@ -6,7 +6,7 @@
 use http_body_util::BodyExt;
 use hyper::body::Incoming;
 use hyper::{Method, Request, Response, StatusCode, header};
-use link::{Conn, Freshness, LinkError, Pool, PoolConfig, full};
+use link::{Conn, ConnPolicy, LinkError, Pool, PoolConfig, full};
 use std::collections::HashMap;
 use std::net::SocketAddr;
 use std::sync::{Arc, Mutex, PoisonError};
@@ -51,7 +51,7 @@
 
 #[async_trait]
 impl Dial for Targets {
-    async fn open(&self, addr: SocketAddr, fresh: Freshness) -> Result<Box<dyn Line>, LinkError> {
+    async fn open(&self, addr: SocketAddr, fresh: ConnPolicy) -> Result<Box<dyn Line>, LinkError> {
         let pool = self.pool(addr);
         let conn = pool.get(fresh).await?;
         Ok(Box::new(HttpLine { pool, conn, body: None }))
--- a/crates/entry/tests/host/streams.rs
+++ b/crates/entry/tests/host/streams.rs
@@ -7,7 +7,7 @@
 use http_body_util::BodyExt;
 use hyper::body::Incoming;
 use hyper::{Request, Response};
-use link::{Conn, Freshness, Pool, PoolConfig, full};
+use link::{Conn, ConnPolicy, Pool, PoolConfig, full};
 use local::Cluster;
 use serde_json::Value;
 
@@ -29,7 +29,7 @@
 impl Reader {
     async fn open(cluster: &Cluster, request: Request<Bytes>) -> Self {
         let pool = Pool::new(cluster.hosts[0].listen(), PoolConfig::default());
-        let mut conn = pool.get(Freshness::New).await.expect("the host listens");
+        let mut conn = pool.get(ConnPolicy::New).await.expect("the host listens");
         let request = request.map(full);
         let response = conn.send(request, Ms::secs(20)).await.expect("a response");
         Self { _conn: conn, response, buffer: String::new() }
--- a/crates/entry/tests/sim/targets.rs
+++ b/crates/entry/tests/sim/targets.rs
@@ -6,7 +6,7 @@
 use entry::{Bounds, Dial, Line, Probed};
 use fakes::{Gate, expected_output, token};
 use hyper::StatusCode;
-use link::{Freshness, LinkError};
+use link::{ConnPolicy, LinkError};
 use std::collections::{BTreeMap, BTreeSet};
 use std::net::SocketAddr;
 use std::sync::{Arc, Mutex, MutexGuard, PoisonError};
@@ -187,7 +187,7 @@
 
 #[async_trait]
 impl Dial for Ways {
-    async fn open(&self, addr: SocketAddr, _: Freshness) -> Result<Box<dyn Line>, LinkError> {
+    async fn open(&self, addr: SocketAddr, _: ConnPolicy) -> Result<Box<dyn Line>, LinkError> {
         self.gate.pass().await;
         let target = usize::from(addr.port()) - 1;
         sleep(self.targets.faults.within(0..3).duration()).await;
--- a/crates/link/src/client.rs
+++ b/crates/link/src/client.rs
@@ -34,7 +34,7 @@
 
 /// Whether a connection that served before will do.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
-pub enum Freshness {
+pub enum ConnPolicy {
     /// Any open connection.
     Reuse,
     /// A new one. A kept connection may have been lost track of by something between the two
@@ -74,9 +74,9 @@
     }
 
     /// A connection that can take a request now.
-    pub async fn get(&self, fresh: Freshness) -> Result<Conn, LinkError> {
+    pub async fn get(&self, fresh: ConnPolicy) -> Result<Conn, LinkError> {
         match self.kept() {
-            Some(conn) if fresh == Freshness::Reuse => Ok(conn),
+            Some(conn) if fresh == ConnPolicy::Reuse => Ok(conn),
             _ => self.connect().await,
         }
     }
@@ -163,10 +163,10 @@
 ) -> Result<Response<bytes::Bytes>, LinkError> {
     let (head, body) = request.into_parts();
     let build = || Request::from_parts(head.clone(), full(body.clone()));
-    let mut conn = pool.get(Freshness::Reuse).await?;
+    let mut conn = pool.get(ConnPolicy::Reuse).await?;
     let mut result = conn.send(build(), silence).await;
     if let Err(LinkError::Unsent) = result {
-        conn = pool.get(Freshness::New).await?;
+        conn = pool.get(ConnPolicy::New).await?;
         result = conn.send(build(), silence).await;
     }
     let (head, body) = result?.into_parts();
--- a/crates/link/src/lib.rs
+++ b/crates/link/src/lib.rs
@@ -10,6 +10,6 @@
 mod server;
 
 pub use body::{Body, full, json, read, stream};
-pub use client::{Conn, Freshness, Pool, PoolConfig, call};
+pub use client::{Conn, ConnPolicy, Pool, PoolConfig, call};
 pub use error::LinkError;
 pub use server::{Bounds, Handler, Served, Stop, serve};
