--- a/crates/entry/src/host.rs
+++ b/crates/entry/src/host.rs
@@ -4,7 +4,7 @@
 use conf::Settings;
 use gossip::{Node, NodeConfig, Tell};
 use journal::{Journal, Sharded, ShardedConfig};
-use link::{Bounds, Handler, Served, Stop, serve};
+use link::{Bounds, Handler, ServeSummary, Stop, serve};
 use logs::note;
 use policy::{Event, HostContext, State};
 use std::net::SocketAddr;
@@ -48,7 +48,7 @@
 
 struct Listener {
     stop: Stop,
-    task: JoinHandle<Served>,
+    task: JoinHandle<ServeSummary>,
 }
 
 impl Host {
--- a/crates/link/src/lib.rs
+++ b/crates/link/src/lib.rs
@@ -12,4 +12,4 @@
 pub use body::{Body, full, json, read, stream};
 pub use client::{Conn, ConnPolicy, Pool, PoolConfig, call};
 pub use error::LinkError;
-pub use server::{Bounds, Handler, Served, Stop, serve};
+pub use server::{Bounds, Handler, ServeSummary, Stop, serve};
--- a/crates/link/src/server.rs
+++ b/crates/link/src/server.rs
@@ -78,7 +78,7 @@
 
 /// How a server ended.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
-pub struct Served {
+pub struct ServeSummary {
     /// Connections turned away because of the bound.
     pub refused: u64,
 }
@@ -89,7 +89,7 @@
     bounds: Bounds,
     handler: Arc<H>,
     stop: Stop,
-) -> Served {
+) -> ServeSummary {
     let room = Arc::new(Semaphore::new(bounds.connections));
     let mut open = JoinSet::new();
     let mut refused = 0;
@@ -117,7 +117,7 @@
     }
     drop(listener);
     while open.join_next().await.is_some() {}
-    Served { refused }
+    ServeSummary { refused }
 }
 
 async fn connection<H: Handler>(
