--- a/crates/base/src/clock.rs
+++ b/crates/base/src/clock.rs
@@ -1,4 +1,4 @@
-//! Time as one small type, and where it comes from.
+//! The millisecond time type and the clocks that produce it.
 
 use serde::{Deserialize, Serialize};
 use std::fmt;
@@ -8,8 +8,8 @@
 
 /// A point in time or a span, in whole milliseconds.
 ///
-/// Points count from the Unix epoch. Subtraction saturates at zero, because a clock that
-/// steps back would otherwise turn a small wait into one of centuries.
+/// Points count from the Unix epoch. Subtraction saturates at zero: with a clock that steps back,
+/// it would otherwise underflow and turn a short wait into one of centuries.
 #[derive(
     Clone, Copy, Debug, Default, PartialEq, Eq, PartialOrd, Ord, Hash, Serialize, Deserialize,
 )]
@@ -17,7 +17,7 @@
 pub struct Ms(pub u64);
 
 impl Ms {
-    /// The epoch, and the empty span.
+    /// The Unix epoch as a point, or an empty span.
     pub const ZERO: Self = Self(0);
     /// Later than any point in use.
     pub const MAX: Self = Self(u64::MAX);
@@ -70,10 +70,10 @@
     fn now(&self) -> Ms;
 }
 
-/// The machine's clock, read once at the start and carried on by the monotonic clock.
+/// Wall-clock time, read once at start and advanced by the monotonic clock.
 ///
-/// A wall clock that steps back would revive deadlines that have passed; so only the first
-/// reading is taken from it.
+/// If the wall clock were read each time and stepped back, deadlines that have passed would be in
+/// the future again.
 #[derive(Debug)]
 pub struct SystemClock {
     epoch: Ms,
@@ -83,8 +83,8 @@
 impl SystemClock {
     /// Reads the wall clock once.
     pub fn new() -> Self {
-        let since = SystemTime::now().duration_since(UNIX_EPOCH).unwrap_or_default();
-        Self { epoch: Ms(since.as_millis() as u64), start: Instant::now() }
+        let elapsed = SystemTime::now().duration_since(UNIX_EPOCH).unwrap_or_default();
+        Self { epoch: Ms(elapsed.as_millis() as u64), start: Instant::now() }
     }
 }
 
@@ -100,10 +100,11 @@
     }
 }
 
-/// The machine's clock that goes on while the machine is suspended.
+/// Wall-clock time, read once at start and advanced by the boot-time clock, which also counts the
+/// time that the machine is suspended.
 ///
-/// The monotonic clock stands still then. What a suspended host knew would look as fresh on waking
-/// as before, though keys were taken away and targets left meanwhile.
+/// The monotonic clock stops during suspension. With it, a host's data would look as fresh after
+/// resuming as before, although keys were revoked and targets left in the meantime.
 #[derive(Debug)]
 pub struct BootClock {
     epoch: Ms,
@@ -113,8 +114,8 @@
 impl BootClock {
     /// Reads the wall clock once.
     pub fn new() -> Self {
-        let since = SystemTime::now().duration_since(UNIX_EPOCH).unwrap_or_default();
-        Self { epoch: Ms(since.as_millis() as u64), start: boot_time() }
+        let elapsed = SystemTime::now().duration_since(UNIX_EPOCH).unwrap_or_default();
+        Self { epoch: Ms(elapsed.as_millis() as u64), start: boot_time() }
     }
 }
 
@@ -135,7 +136,7 @@
     Ms(now.tv_sec as u64 * 1000 + now.tv_nsec as u64 / 1_000_000)
 }
 
-/// A clock that a test or a model sets by hand.
+/// A clock that a test or simulation sets explicitly.
 #[derive(Debug, Default)]
 pub struct ManualClock(AtomicU64);
 
@@ -145,12 +146,12 @@
         Self(AtomicU64::new(now.0))
     }
 
-    /// Moves on to `now`; an earlier point is ignored.
+    /// Advances to `now`; an earlier point is ignored.
     pub fn set(&self, now: Ms) {
         self.0.fetch_max(now.0, Ordering::Relaxed);
     }
 
-    /// Moves on by `span`.
+    /// Advances by `span`.
     pub fn advance(&self, span: Ms) {
         self.0.fetch_add(span.0, Ordering::Relaxed);
     }
--- a/crates/base/src/hash.rs
+++ b/crates/base/src/hash.rs
@@ -1,8 +1,9 @@
-//! Hashing that gives the same result on every host and version.
+//! Hash functions that give the same result on every host and in every version.
 
 use xxhash_rust::xxh3::Xxh3Default;
 
-/// Hashes byte strings in order. Lengths are mixed in, so `["ab", "c"]` and `["a", "bc"]` differ.
+/// Hashes byte strings in order. Each is prefixed with its length, so `["ab", "c"]` and
+/// `["a", "bc"]` differ.
 pub fn hash_parts(parts: &[&[u8]]) -> u64 {
     let mut state = Xxh3Default::new();
     for part in parts {
@@ -14,8 +15,8 @@
 
 /// Rendezvous hashing: the item with the highest score for `key`.
 ///
-/// Every host that sees the same items picks the same one, and when an item goes, only the
-/// keys that it held move.
+/// Hosts with the same items choose the same one, and when an item is removed, only the keys that
+/// were assigned to it move.
 pub fn rendezvous<'a, T>(
     key: &[u8],
     items: impl IntoIterator<Item = &'a T>,
--- a/crates/base/src/id.rs
+++ b/crates/base/src/id.rs
@@ -1,4 +1,4 @@
-//! Identifiers: names as shared strings, numbers as newtypes.
+//! Typed identifiers: names as shared strings, counters and UUIDs as newtypes.
 
 use serde::{Deserialize, Serialize};
 use std::fmt;
@@ -9,13 +9,13 @@
 
 use crate::Ms;
 
-/// Why a text is no identifier.
+/// Why a text could not be parsed as an identifier.
 #[derive(Debug, Error, PartialEq, Eq)]
 pub enum IdError {
-    /// Not a UUID at all.
+    /// The text is not a UUID.
     #[error("not a UUID; give one like 019075d0-8f5c-7c3e-9d5a-2f6f0c9f2a11")]
     NotUuid,
-    /// A UUID without a time in it.
+    /// A UUID of another version, which carries no creation time.
     #[error("not a version 7 UUID; the key must carry its time, so make it with a v7 generator")]
     NotV7,
 }
@@ -28,7 +28,7 @@
         pub struct $name(Arc<str>);
 
         impl $name {
-            /// The name itself.
+            /// The name as a string slice.
             pub fn as_str(&self) -> &str {
                 &self.0
             }
@@ -67,7 +67,7 @@
     DomainId,
     /// A region: a set of failure domains with short links between them.
     RegionId,
-    /// A workspace: who is served and accounted for.
+    /// A workspace: whose request it is, for admission and accounting.
     WorkspaceId,
     /// A target: one server that runs stages.
     TargetId,
@@ -108,9 +108,9 @@
 }
 
 numbers! {
-    /// Which try of a stage this is, counted over the whole request from 1.
+    /// Attempt number of a stage, counted over the whole request from 1.
     Attempt(u32),
-    /// Which accepted configuration this is; only ever rises.
+    /// Number of an accepted configuration; it only increases.
     Generation(u64),
     /// The version of an object in the platform's object API; zero before it exists.
     Version(u64),
@@ -126,12 +126,12 @@
         pub struct $name(pub Uuid);
 
         impl $name {
-            /// A fresh one, from the machine's clock and generator.
+            /// Generates a version 7 UUID from the system clock and random number generator.
             pub fn fresh() -> Self {
                 Self(Uuid::now_v7())
             }
 
-            /// One made from a number, for tests and models.
+            /// Builds an identifier from a number, for tests and simulations.
             pub const fn from_u128(n: u128) -> Self {
                 Self(Uuid::from_u128(n))
             }
@@ -153,16 +153,16 @@
 }
 
 uuids! {
-    /// One request as one entry host sees it. A caller's re-send gets a new one.
+    /// One request as one entry host sees it. A re-send by the caller gets a new identifier.
     RequestId,
-    /// One change of an object, chosen by the writer, to know its own write again.
+    /// One change of an object. The writer chooses it, so that it can recognise its own write later.
     ChangeId,
-    /// The caller's idempotency key: a version 7 UUID, so it carries its age.
+    /// The caller's idempotency key: a version 7 UUID, so it carries its creation time.
     Key,
 }
 
 impl Key {
-    /// Reads a key as callers send it, and insists on version 7.
+    /// Parses a key as sent by a caller; only version 7 UUIDs are accepted.
     pub fn parse(text: &str) -> Result<Self, IdError> {
         let key: Self = text.parse()?;
         match key.0.get_version_num() {
@@ -171,14 +171,14 @@
         }
     }
 
-    /// A key of a given age, for tests and models: `seed` fills the random part.
+    /// A key with the given creation time, for tests and simulations; `seed` fills the random part.
     pub fn at(time: Ms, seed: u128) -> Self {
-        let stamp = u128::from(time.0 & 0xffff_ffff_ffff) << 80;
+        let timestamp = u128::from(time.0 & 0xffff_ffff_ffff) << 80;
         let rand = seed & 0x0fff_3fff_ffff_ffff_ffff;
-        Self(Uuid::from_u128(stamp | 0x7000_8000_0000_0000_0000 | rand))
+        Self(Uuid::from_u128(timestamp | 0x7000_8000_0000_0000_0000 | rand))
     }
 
-    /// When the caller made the key.
+    /// When the caller created the key.
     pub fn time(self) -> Ms {
         Ms((self.0.as_u128() >> 80) as u64)
     }
--- a/crates/base/src/lib.rs
+++ b/crates/base/src/lib.rs
@@ -1,6 +1,6 @@
-//! Shared ground of all crates: time in milliseconds, identifiers, and stable hashing.
+//! Types shared by all crates: time in milliseconds, identifiers, and stable hashing.
 //!
-//! Nothing here knows about the network, files or any decision.
+//! This crate does no network or file I/O and holds no policy.
 
 mod clock;
 mod hash;
--- a/crates/link/src/client.rs
+++ b/crates/link/src/client.rs
@@ -1,4 +1,4 @@
-//! Client connections to one address.
+//! HTTP client connections to one address, with a pool of idle ones.
 
 use base::Ms;
 use hyper::body::Incoming;
@@ -15,14 +15,14 @@
 
 use crate::{Body, LinkError, full, read};
 
-/// Bounds of a pool.
+/// Limits of a connection pool.
 #[derive(Clone, Copy, Debug)]
 pub struct PoolConfig {
-    /// Time to connect, ms.
+    /// Connect time-out, ms.
     pub connect_ms: Ms,
-    /// Idle connections that are kept.
+    /// Maximum number of idle connections.
     pub idle: usize,
-    /// An idle connection older than this is not used again, ms.
+    /// A connection that was idle for longer than this is not reused, ms.
     pub idle_ms: Ms,
 }
 
@@ -32,75 +32,76 @@
     }
 }
 
-/// Whether a connection that served before will do.
+/// Whether a pooled connection may be used.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 pub enum ConnPolicy {
-    /// Any open connection.
+    /// An idle connection if there is one, otherwise a new one.
     Reuse,
-    /// A new one. A kept connection may have been lost track of by something between the two
-    /// ends; work that may not be repeated would then be sent and its outcome unknown. A new
-    /// handshake proves the path.
+    /// A new connection. A device between the two ends may have dropped its state for an idle
+    /// connection; a request that may not be repeated would then be sent and its outcome be
+    /// unknown. A new handshake proves that the path works.
     New,
 }
 
-/// Connections to one address.
+/// A pool of connections to one address.
 pub struct Pool {
     addr: SocketAddr,
     config: PoolConfig,
     idle: Mutex<Vec<Conn>>,
 }
 
-/// A response's head that is waited for.
-type Head =
+/// Pending head of a response.
+type PendingHead =
     Pin<Box<dyn Future<Output = Result<Response<Incoming>, TrySendError<Request<Body>>>> + Send>>;
 
-/// One connection, for one request at a time. Dropped without [`Pool::put`], it is closed.
+/// A connection, for one request at a time. It is closed when it is dropped without
+/// [`Pool::put`].
 pub struct Conn {
     sender: SendRequest<Body>,
-    head: Option<Head>,
+    head: Option<PendingHead>,
     reused: bool,
-    since: Instant,
+    last_used: Instant,
 }
 
 impl Pool {
-    /// An empty pool.
+    /// Creates an empty pool.
     pub fn new(addr: SocketAddr, config: PoolConfig) -> Self {
         Self { addr, config, idle: Mutex::new(Vec::new()) }
     }
 
-    /// Where its connections go.
+    /// The address that the pool connects to.
     pub fn addr(&self) -> SocketAddr {
         self.addr
     }
 
-    /// A connection that can take a request now.
-    pub async fn get(&self, fresh: ConnPolicy) -> Result<Conn, LinkError> {
-        match self.kept() {
-            Some(conn) if fresh == ConnPolicy::Reuse => Ok(conn),
+    /// Returns a connection that is ready for a request.
+    pub async fn get(&self, policy: ConnPolicy) -> Result<Conn, LinkError> {
+        match self.take_idle() {
+            Some(conn) if policy == ConnPolicy::Reuse => Ok(conn),
             _ => self.connect().await,
         }
     }
 
-    /// Gives a connection back after its response was read whole and found sound.
+    /// Returns a connection to the pool. Its response must have been read completely and be valid.
     pub fn put(&self, mut conn: Conn) {
         conn.reused = true;
-        conn.since = Instant::now();
+        conn.last_used = Instant::now();
         let mut idle = self.idle.lock().unwrap_or_else(PoisonError::into_inner);
         if idle.len() < self.config.idle {
             idle.push(conn);
         }
     }
 
-    /// Drops all idle connections, so that the next ones are new.
+    /// Closes all idle connections, so that the next requests open new ones.
     pub fn clear(&self) {
         self.idle.lock().unwrap_or_else(PoisonError::into_inner).clear();
     }
 
-    fn kept(&self) -> Option<Conn> {
+    fn take_idle(&self) -> Option<Conn> {
         let mut idle = self.idle.lock().unwrap_or_else(PoisonError::into_inner);
-        let oldest = self.config.idle_ms.duration();
+        let max_idle = self.config.idle_ms.duration();
         while let Some(conn) = idle.pop() {
-            if conn.sender.is_ready() && conn.since.elapsed() < oldest {
+            if conn.sender.is_ready() && conn.last_used.elapsed() < max_idle {
                 return Some(conn);
             }
         }
@@ -110,7 +111,8 @@
     async fn connect(&self) -> Result<Conn, LinkError> {
         let open = async {
             let tcp = TcpStream::connect(self.addr).await.map_err(|_| LinkError::Connect)?;
-            // Small requests would wait for the far end's delayed acknowledgement.
+            // With Nagle's algorithm, small requests would wait for the peer's delayed
+            // acknowledgement.
             tcp.set_nodelay(true).map_err(|_| LinkError::Connect)?;
             http1::handshake(TokioIo::new(tcp)).await.map_err(|_| LinkError::Connect)
         };
@@ -118,15 +120,15 @@
             .await
             .map_err(|_| LinkError::Connect)??;
         tokio::spawn(async move {
-            // Its error reaches whoever waits for the response.
+            // The error is also returned to the caller that waits for the response.
             let _ = conn.await;
         });
-        Ok(Conn { sender, head: None, reused: false, since: Instant::now() })
+        Ok(Conn { sender, head: None, reused: false, last_used: Instant::now() })
     }
 }
 
 impl Conn {
-    /// Sends a request and waits for the response's head, at most `silence`.
+    /// Sends a request and waits for the response's head, for at most `silence`.
     pub async fn send(
         &mut self,
         request: Request<Body>,
@@ -136,8 +138,8 @@
         self.wait(silence).await
     }
 
-    /// Waits on for the head of a response that was silent so far. The request stays under way
-    /// meanwhile: giving the wait up would close the connection and cancel it.
+    /// Continues to wait for the response's head after [`LinkError::Silent`]. The request stays in
+    /// flight between the waits; to drop the connection instead would cancel it.
     pub async fn wait(&mut self, silence: Ms) -> Result<Response<Incoming>, LinkError> {
         let reused = self.reused;
         let Some(head) = &mut self.head else { return Err(LinkError::Broken { reused }) };
@@ -146,15 +148,16 @@
         };
         self.head = None;
         head.map_err(|err| match err.message() {
-            // Given back unused: not a byte of it was written.
+            // The request is returned unused: none of it was written.
             Some(_) => LinkError::Unsent,
             None => LinkError::Broken { reused },
         })
     }
 }
 
-/// One whole call: status and body. A connection found closed before the request was handed to
-/// it is replaced once. `silence` bounds the head and each wait for more of the body.
+/// Sends a request and reads the complete response. If a connection turns out to be closed before
+/// the request was handed to it, the request is sent once more on a new connection. `silence`
+/// limits the wait for the head, and then the time to read the whole body.
 pub async fn call(
     pool: &Pool,
     request: Request<bytes::Bytes>,
--- a/crates/link/src/error.rs
+++ b/crates/link/src/error.rs
@@ -1,11 +1,11 @@
-//! What can go wrong between two sockets.
+//! Errors of HTTP calls.
 
 use thiserror::Error;
 
-/// A failed call, by what is known of the request.
+/// A failed call. The variants tell whether the request may have been sent.
 #[derive(Debug, Error)]
 pub enum LinkError {
-    /// No connection; nothing was sent.
+    /// No connection could be opened; nothing was sent.
     #[error("no connection could be made")]
     Connect,
     /// The connection closed before the request was handed to it; nothing was sent.
@@ -14,10 +14,11 @@
     /// The connection broke after the request was handed to it.
     #[error("the connection broke")]
     Broken {
-        /// Whether it had served a request before: then the far end may just have closed it.
+        /// Whether the connection had served a request before. If so, the peer may simply have
+        /// closed it as idle.
         reused: bool,
     },
-    /// Nothing came within the bound on silence.
+    /// Nothing was received within the time-out.
     #[error("the connection is silent")]
     Silent,
     /// The body is larger than the limit.
@@ -26,7 +27,7 @@
         /// The limit, bytes.
         limit: usize,
     },
-    /// The body isn't what it should be.
+    /// The body could not be parsed.
     #[error("the body is malformed: {0}")]
     Malformed(#[from] serde_json::Error),
 }
--- a/crates/link/src/lib.rs
+++ b/crates/link/src/lib.rs
@@ -1,8 +1,9 @@
-//! HTTP/1.1 on both sides, as this system needs it.
+//! HTTP/1.1 client and server.
 //!
-//! [`Pool`] keeps connections to one address and tells exactly whether a request was handed to a
-//! socket, because what callers are told about `ran` rests on it. [`serve`] takes connections
-//! with bounds on everything that a stranger sends, and stops without cutting an answer.
+//! [`Pool`] keeps connections to one address and reports exactly whether a request was handed to a
+//! socket, because the field `ran` in answers to callers depends on it. [`serve`] accepts
+//! connections with limits on everything that an untrusted client sends, and stops without
+//! cutting off an answer.
 
 mod body;
 mod client;
--- a/crates/link/src/server.rs
+++ b/crates/link/src/server.rs
@@ -1,4 +1,4 @@
-//! Taking connections, with bounds, until told to stop.
+//! HTTP server: accepts connections within limits until it is stopped.
 
 use base::Ms;
 use hyper::body::Incoming;
@@ -16,14 +16,14 @@
 
 use crate::Body;
 
-/// Bounds on what strangers may take.
+/// Limits on what untrusted clients may use.
 #[derive(Clone, Copy, Debug)]
 pub struct Bounds {
-    /// Bytes of headers.
+    /// Maximum size of a request's headers, bytes.
     pub header_bytes: usize,
-    /// Time to send headers, ms.
+    /// Time in which a client must send the headers, ms.
     pub read_ms: Ms,
-    /// Open connections; more are closed at once.
+    /// Maximum number of open connections; further ones are closed immediately.
     pub connections: usize,
 }
 
@@ -33,9 +33,9 @@
     }
 }
 
-/// What answers requests.
+/// Handles requests.
 pub trait Handler: Send + Sync + 'static {
-    /// Answers one request. Dropped when its connection goes.
+    /// Answers one request. The future is dropped when the connection closes.
     fn handle(
         self: Arc<Self>,
         request: Request<Incoming>,
@@ -43,29 +43,29 @@
     ) -> impl Future<Output = Response<Body>> + Send;
 }
 
-/// Tells a server to stop.
+/// Signal that stops a server.
 #[derive(Clone, Debug)]
 pub struct Stop(watch::Sender<bool>);
 
 impl Stop {
-    /// Not stopped.
+    /// Creates a signal that is not set.
     pub fn new() -> Self {
         Self(watch::Sender::new(false))
     }
 
-    /// Stops: no new connections or requests; what is open is answered.
+    /// Sets the signal: the server accepts no new connections or requests and answers the open ones.
     pub fn stop(&self) {
         self.0.send_replace(true);
     }
 
-    /// Whether it was stopped.
+    /// Whether the signal is set.
     pub fn stopped(&self) -> bool {
         *self.0.borrow()
     }
 
-    /// Waits until it is stopped.
+    /// Waits until the signal is set.
     pub async fn wait(&self) {
-        // The sender lives in `self`, so the wait can't fail.
+        // `self` holds the sender, so the channel can't close and the wait can't fail.
         let _ = self.0.subscribe().wait_for(|stopped| *stopped).await;
     }
 }
@@ -76,21 +76,21 @@
     }
 }
 
-/// How a server ended.
+/// What a server did until it stopped.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 pub struct ServeSummary {
-    /// Connections turned away because of the bound.
+    /// Connections closed because of [`Bounds::connections`].
     pub refused: u64,
 }
 
-/// Serves until `stop`, then waits for open requests to be answered.
+/// Serves until `stop` is set, then waits until the open requests are answered.
 pub async fn serve<H: Handler>(
     listener: TcpListener,
     bounds: Bounds,
     handler: Arc<H>,
     stop: Stop,
 ) -> ServeSummary {
-    let room = Arc::new(Semaphore::new(bounds.connections));
+    let permits = Arc::new(Semaphore::new(bounds.connections));
     let mut open = JoinSet::new();
     let mut refused = 0;
     loop {
@@ -101,17 +101,17 @@
             accepted = listener.accept() => accepted,
         };
         let Ok((tcp, peer)) = tcp else {
-            // Out of file descriptors: accepting again at once would spin.
+            // Typically out of file descriptors: an immediate retry would spin.
             tokio::time::sleep(Ms(10).duration()).await;
             continue;
         };
-        let Ok(permit) = room.clone().try_acquire_owned() else {
+        let Ok(permit) = permits.clone().try_acquire_owned() else {
             refused += 1;
             continue;
         };
         let (handler, stop) = (handler.clone(), stop.clone());
         open.spawn(async move {
-            connection(tcp, peer, bounds, handler, stop).await;
+            serve_connection(tcp, peer, bounds, handler, stop).await;
             drop(permit);
         });
     }
@@ -120,14 +120,14 @@
     ServeSummary { refused }
 }
 
-async fn connection<H: Handler>(
+async fn serve_connection<H: Handler>(
     tcp: TcpStream,
     peer: SocketAddr,
     bounds: Bounds,
     handler: Arc<H>,
     stop: Stop,
 ) {
-    // A failure here leaves the connection slower, not wrong.
+    // If this fails, the connection is slower but still correct.
     let _ = tcp.set_nodelay(true);
     let service = service_fn(move |request| {
         let handler = handler.clone();
