--- a/crates/local/src/cluster.rs
+++ b/crates/local/src/cluster.rs
@@ -1,4 +1,4 @@
-//! Stand-ins and hosts in one process.
+//! Starts a fleet in one process: fake platform, fake targets and entry hosts.
 
 use base::{Clock, DomainId, HostId, Ms, RegionId, SystemClock, Version};
 use bytes::Bytes;
@@ -15,23 +15,23 @@
 
 use crate::LocalError;
 
-/// Longest wait for all hosts to be ready.
-const READY_MS: Ms = Ms::secs(20);
-/// Longest answer that is read, bytes.
-const ANSWER_BYTES: usize = 8 << 20;
-/// Longest silence of a host that is put up with.
-const SILENCE_MS: Ms = Ms::secs(60);
+/// Time-out for all hosts to become ready.
+const READY_TIMEOUT: Ms = Ms::secs(20);
+/// Largest response body that is read, bytes.
+const MAX_RESPONSE_BYTES: usize = 8 << 20;
+/// Time-out for a host's response head, and then for its body.
+const RESPONSE_TIMEOUT: Ms = Ms::secs(60);
 
-/// How a fleet is built.
+/// Options for [`Cluster::start`].
 #[derive(Clone, Debug)]
 pub struct Options {
-    /// Entry hosts in each failure domain.
+    /// Number of entry hosts in each failure domain.
     pub hosts: usize,
-    /// Time of a call without tokens, ms.
+    /// Simulated time that a target takes for a call, without its tokens, ms.
     pub call_ms: u64,
-    /// Time of a generated token, ms.
+    /// Simulated time per generated token, ms.
     pub token_ms: u64,
-    /// More lines of each host's settings, as YAML.
+    /// YAML lines that are appended to each host's settings.
     pub settings: String,
 }
 
@@ -41,35 +41,35 @@
     }
 }
 
-/// A running fleet.
+/// A running fleet on loopback.
 pub struct Cluster {
-    /// The platform.
+    /// The fake platform.
     pub platform: Platform,
-    /// The targets, by name.
+    /// The fake targets, by name.
     pub targets: BTreeMap<String, Target>,
-    /// The entry hosts, by domain in the configuration's order.
+    /// The entry hosts, in the order of the configuration's failure domains.
     pub hosts: Vec<Host>,
-    /// The configuration with the addresses filled in.
+    /// The configuration, with the targets' actual addresses.
     pub fleet: Fleet,
     options: Options,
-    listed: HostList,
+    host_list: HostList,
 }
 
-/// A request to a host.
+/// A request to send to a host.
 #[derive(Clone, Copy, Debug)]
 pub struct RequestSpec<'a> {
-    /// Which pipeline.
+    /// Name of the pipeline.
     pub pipeline: &'a str,
-    /// Whose.
+    /// Name of the workspace.
     pub workspace: &'a str,
-    /// The input.
+    /// Input text.
     pub input: &'a str,
-    /// More headers.
+    /// Additional headers, as name and value.
     pub headers: &'a [(&'a str, &'a str)],
 }
 
 impl RequestSpec<'_> {
-    /// The HTTP request.
+    /// Builds the HTTP request.
     pub fn request(&self) -> Request<Bytes> {
         let ask = Ask { input: self.input.to_owned(), ..Ask::default() };
         let body = Bytes::from(serde_json::to_vec(&ask).unwrap_or_default());
@@ -81,19 +81,19 @@
         for (name, value) in self.headers {
             request = request.header(*name, *value);
         }
-        request.body(body).expect("names and headers of a test can stand in a request")
+        request.body(body).expect("pipeline name and headers are valid in an HTTP request")
     }
 }
 
 impl Cluster {
-    /// Starts everything on free ports, applies `fleet` with the targets' addresses filled in,
-    /// and waits until all hosts are ready.
+    /// Starts platform, targets and hosts on free ports, applies `fleet` with the targets' actual
+    /// addresses, and waits until all hosts are ready.
     pub async fn start(mut fleet: Fleet, options: Options) -> Result<Self, LocalError> {
-        let platform = Platform::start(local()).await?;
+        let platform = Platform::start(loopback()).await?;
         let targets = start_targets(&mut fleet, &options).await?;
-        let listed = HostList::default();
+        let host_list = HostList::default();
         let hosts = Vec::new();
-        let mut cluster = Self { platform, targets, hosts, fleet, options, listed };
+        let mut cluster = Self { platform, targets, hosts, fleet, options, host_list };
         cluster.apply("first configuration").await?;
         for region in cluster.fleet.regions.clone() {
             for domain in &region.domains {
@@ -106,7 +106,7 @@
         Ok(cluster)
     }
 
-    /// Starts one more host. Its name is the domain's with `number`.
+    /// Starts one more host, named `{domain}-host-{number}`.
     pub async fn add_host(
         &mut self,
         domain: &DomainId,
@@ -114,7 +114,7 @@
         number: usize,
     ) -> Result<(), LocalError> {
         let host = HostId::from(format!("{domain}-host-{number}"));
-        let any = local();
+        let any = loopback();
         let yaml = format!(
             "host: {host}\ndomain: {domain}\nregion: {region}\nlisten: {any}\nadmin: {any}\n\
              peer: {any}\nplatform: {}\n{}",
@@ -122,66 +122,66 @@
             self.options.settings
         );
         let started = Host::start(Settings::parse(&yaml)?).await?;
-        self.listed.hosts.push(HostEntry {
+        self.host_list.hosts.push(HostEntry {
             name: host.to_string(),
             domain: domain.to_string(),
             address: started.peer().to_string(),
             leaving: false,
         });
         self.hosts.push(started);
-        self.list_hosts().await
+        self.write_host_list().await
     }
 
-    /// Writes the platform's list of hosts, from which they learn of each other.
-    async fn list_hosts(&self) -> Result<(), LocalError> {
+    /// Writes the platform's list of hosts, by which the hosts discover each other.
+    async fn write_host_list(&self) -> Result<(), LocalError> {
         let (api, kind) = (self.api(), gossip::Kind::Hosts.name());
         let before = api.get(kind, kind).await?;
         let expected = Version(before.map_or(0, |o| o.version));
-        let body = serde_json::to_string(&self.listed).unwrap_or_default();
+        let body = serde_json::to_string(&self.host_list).unwrap_or_default();
         api.put(kind, kind, expected, &body).await?;
         Ok(())
     }
 
-    /// Applies the fleet as it is now.
+    /// Applies the current [`Cluster::fleet`]; `why` goes into its audit record.
     pub async fn apply(&self, why: &str) -> Result<ctl::Applied, LocalError> {
         let note = ChangeNote { who: "local", why, at: SystemClock::new().now() };
         Ok(ctl::apply(&self.api(), &self.fleet.to_yaml(), None, &note).await?)
     }
 
-    /// A client of the platform.
+    /// A client of the platform's object API.
     pub fn api(&self) -> HttpApi {
         let config = HttpConfig { silence_ms: Ms::secs(1), watch_ms: Ms::secs(1) };
         HttpApi::new(self.platform.addr(), config)
     }
 
-    /// Sends one request to a host and reads its whole response.
+    /// Sends one request to the host at this index and reads the whole response.
     pub async fn ask(
         &self,
         host: usize,
-        asking: &RequestSpec<'_>,
+        spec: &RequestSpec<'_>,
     ) -> Result<Response<Bytes>, LinkError> {
-        call(self.hosts[host].listen(), asking.request()).await
+        call(self.hosts[host].listen(), spec.request()).await
     }
 
-    /// Reads a path of a host's admin address.
+    /// Sends a GET request for `path` to a host's admin address.
     pub async fn admin(&self, host: usize, path: &str) -> Result<Response<Bytes>, LinkError> {
         let request = Request::builder().uri(path).header("host", "siskinwheel");
-        let request = request.body(Bytes::new()).expect("paths of a test can stand in a request");
+        let request = request.body(Bytes::new()).expect("the path is valid in an HTTP request");
         call(self.hosts[host].admin(), request).await
     }
 
-    /// Waits until all hosts take requests.
+    /// Waits until all hosts accept requests.
     pub async fn wait_ready(&self) -> Result<(), LocalError> {
         let all = async {
             while !self.hosts.iter().all(Host::ready) {
                 tokio::time::sleep(Ms(10).duration()).await;
             }
         };
-        let waited = tokio::time::timeout(READY_MS.duration(), all).await;
+        let waited = tokio::time::timeout(READY_TIMEOUT.duration(), all).await;
         waited.map_err(|_| LocalError::NotReady)
     }
 
-    /// Stops everything, hosts first, and says how each of them stopped.
+    /// Stops hosts, targets and platform, in this order, and returns how each host stopped.
     pub async fn close(self) -> Vec<Stopped> {
         let mut stopped = Vec::new();
         for host in self.hosts {
@@ -197,7 +197,7 @@
 
 async fn call(addr: SocketAddr, request: Request<Bytes>) -> Result<Response<Bytes>, LinkError> {
     let pool = Pool::new(addr, PoolConfig::default());
-    link::call(&pool, request, SILENCE_MS, ANSWER_BYTES).await
+    link::call(&pool, request, RESPONSE_TIMEOUT, MAX_RESPONSE_BYTES).await
 }
 
 async fn start_targets(
@@ -209,7 +209,7 @@
         for target in &mut pool.targets {
             let config = TargetConfig {
                 name: target.name.to_string(),
-                addr: local(),
+                addr: loopback(),
                 engine: pool.kind == PoolKind::Engine,
                 slots: target.slots as usize,
                 call_ms: options.call_ms,
@@ -225,6 +225,7 @@
     Ok(targets)
 }
 
-fn local() -> SocketAddr {
+/// Loopback address with port 0, so that the system assigns a free port.
+fn loopback() -> SocketAddr {
     SocketAddr::from((Ipv4Addr::LOCALHOST, 0))
 }
--- a/crates/local/src/error.rs
+++ b/crates/local/src/error.rs
@@ -1,29 +1,29 @@
-//! Why a fleet can't start, or a request to it fails.
+//! Errors of starting a fleet on loopback and of its requests.
 
 use thiserror::Error;
 
-/// A failure of the fleet on loopback.
+/// An error of a fleet on loopback.
 #[derive(Debug, Error)]
 pub enum LocalError {
-    /// A stand-in can't listen.
-    #[error("a stand-in can't listen on loopback: {0}")]
+    /// A fake platform or target can't listen.
+    #[error("a fake platform or target can't listen on loopback: {0}")]
     Listen(#[from] std::io::Error),
-    /// The configuration is refused.
+    /// The configuration is invalid or could not be applied.
     #[error("{0}")]
     Ctl(#[from] ctl::CtlError),
-    /// A host's settings are refused.
+    /// A host's settings are invalid.
     #[error("{0}")]
     Settings(#[from] conf::ParseError),
-    /// A host can't start.
+    /// A host failed to start.
     #[error("{0}")]
     Host(#[from] entry::HostError),
-    /// A host did not take requests in time.
-    #[error("the hosts did not become ready in time; set SISKINWHEEL_LOG=info and look why")]
+    /// Not all hosts accepted requests in time.
+    #[error("the hosts did not become ready in time; set SISKINWHEEL_LOG=info to see why")]
     NotReady,
-    /// The platform's stand-in failed.
+    /// A call to the fake platform failed.
     #[error("{0}")]
     Store(#[from] store::StoreError),
-    /// A call broke.
+    /// A request to a host failed.
     #[error("{0}")]
     Link(#[from] link::LinkError),
 }
--- a/crates/local/src/lib.rs
+++ b/crates/local/src/lib.rs
@@ -1,5 +1,5 @@
-//! A fleet in one process on loopback: stand-ins and entry hosts on free ports, for trials, tests
-//! and benchmarks.
+//! A fleet in one process on loopback, for trials, tests and benchmarks: a fake platform, fake
+//! targets and entry hosts on free ports.
 
 mod cluster;
 mod error;
--- a/crates/logs/src/lib.rs
+++ b/crates/logs/src/lib.rs
@@ -1,6 +1,6 @@
-//! The numbered log events of the whole product, listed for people in `docs/EVENTS.md`.
+//! The numbered log events of all programs, documented in `docs/EVENTS.md`.
 //!
-//! A number is never given to another event. [`note!`] writes one through `tracing`.
+//! A number is never reused for another event. [`note!`] emits an event through `tracing`.
 
 mod event;
 
@@ -8,7 +8,7 @@
 #[doc(hidden)]
 pub use tracing;
 
-/// Writes a numbered event with fields, as `tracing` takes them.
+/// Emits a numbered event with fields in the syntax of the `tracing` macros.
 ///
 /// ```
 /// logs::note!(logs::Event::HostStarted, host = "edge-1");
--- a/crates/logs/tests/catalogue.rs
+++ b/crates/logs/tests/catalogue.rs
@@ -1,4 +1,4 @@
-//! The catalogue for people and the one in the code list the same events.
+//! Checks that `docs/EVENTS.md` and the catalogue in the code list the same events.
 
 use logs::Event;
 
@@ -14,12 +14,12 @@
     let numbered =
         |l: &&str| l.starts_with("| ") && l[2..].starts_with(|c: char| c.is_ascii_digit());
     let rows: Vec<&str> = PAGE.lines().filter(numbered).collect();
-    let wanted: Vec<String> = Event::ALL.iter().map(|e| row(*e)).collect();
-    assert_eq!(rows, wanted, "docs/EVENTS.md must have exactly these rows, by number");
+    let expected: Vec<String> = Event::ALL.iter().map(|e| row(*e)).collect();
+    assert_eq!(rows, expected, "docs/EVENTS.md must have exactly these rows, by number");
 }
 
 #[test]
-fn numbers_rise() {
+fn numbers_are_ascending() {
     let numbers: Vec<u16> = Event::ALL.iter().map(|e| e.number()).collect();
     assert!(numbers.windows(2).all(|w| w[0] < w[1]), "{numbers:?}");
 }
