--- a/crates/conf/src/defaults.rs
+++ b/crates/conf/src/defaults.rs
@@ -1,4 +1,4 @@
-//! What holds where no exception says otherwise.
+//! Defaults that apply unless an exception overrides them.
 
 use base::Ms;
 use serde::{Deserialize, Serialize};
@@ -7,22 +7,24 @@
 #[derive(Clone, Debug, PartialEq, Serialize, Deserialize)]
 #[serde(default, deny_unknown_fields)]
 pub struct Defaults {
-    /// Time a request has from its arrival, ms, where its pipeline gives none. Default 9000.
+    /// Deadline of a request, counted from its arrival, ms. Applies when its pipeline sets none.
+    /// Default 9000.
     pub deadline_ms: Ms,
-    /// Priority of a request that carries none. Default normal.
+    /// Priority of a request that gives none. Default normal.
     pub priority: Priority,
     /// Where stages may run. Default region.
     pub placement: Placement,
-    /// Retries and resumes as a share of successes, 0 to 1. Default 0.1.
+    /// Budget for retries and resumed streams, as a share of successful requests, 0 to 1.
+    /// Default 0.1.
     pub retry_share: f64,
-    /// Hedges as a share of requests, 0 to 1. Default 0.05.
+    /// Budget for hedged attempts, as a share of requests, 0 to 1. Default 0.05.
     pub hedge_share: f64,
-    /// Most requests that wait on one host. Default 2000.
+    /// Maximum number of requests queued on one host. Default 2000.
     pub queue_len: u32,
-    /// Steps in which a new or returned target gets its load take this long in all, ms.
+    /// Total time over which the load of a new or returning target is increased in steps, ms.
     /// Default 10000.
     pub ramp_ms: Ms,
-    /// How long a poison fingerprint is remembered, ms. Default 600000.
+    /// How long the fingerprint of a poison request is remembered, ms. Default 600000.
     pub poison_ms: Ms,
 }
 
@@ -41,7 +43,7 @@
     }
 }
 
-/// Who goes first when there is not room for all.
+/// Priority of a request when capacity is short.
 #[derive(
     Clone, Copy, Debug, Default, PartialEq, Eq, PartialOrd, Ord, Hash, Serialize, Deserialize,
 )]
@@ -49,14 +51,14 @@
 pub enum Priority {
     /// Work that can wait.
     Low,
-    /// The usual.
+    /// Ordinary work.
     #[default]
     Normal,
-    /// Somebody stands and waits.
+    /// Work that a person is waiting for.
     High,
 }
 
-/// Where a stage may run, seen from the host that serves the request.
+/// Where a stage may run, relative to the host that serves the request.
 #[derive(
     Clone, Copy, Debug, Default, PartialEq, Eq, PartialOrd, Ord, Hash, Serialize, Deserialize,
 )]
@@ -67,6 +69,6 @@
     /// In the host's region.
     #[default]
     Region,
-    /// Anywhere; a crossing must earn its cost.
+    /// In any region, if the gain is worth the cost of the transfer between regions.
     Anywhere,
 }
--- a/crates/conf/src/error.rs
+++ b/crates/conf/src/error.rs
@@ -1,29 +1,30 @@
-//! Why a file is refused.
+//! Errors and warnings about settings and configuration files.
 
 use std::fmt;
 use thiserror::Error;
 
-/// A file that can't be used.
+/// Why a file is invalid.
 #[derive(Debug, Error)]
 pub enum ParseError {
-    /// Not YAML, or not a map; the text gives line and column.
+    /// The parser refused the text, for example because it is not YAML; the message gives line and
+    /// column.
     #[error("{0}")]
     Yaml(#[from] serde_saphyr::Error),
-    /// Well-formed, but it can't work. Every fault is given, not only the first.
-    #[error("{}", list(.0))]
+    /// The file is YAML, but its content is invalid. Checks report all faults, not only the first.
+    #[error("{}", join_lines(.0))]
     Faults(Vec<Fault>),
 }
 
-fn list(faults: &[Fault]) -> String {
+fn join_lines(faults: &[Fault]) -> String {
     faults.iter().map(Fault::to_string).collect::<Vec<_>>().join("\n")
 }
 
-/// One thing that can't work, where it stands, and what to do.
+/// One fault or warning: its place in the file, and a message that says how to correct it.
 #[derive(Clone, Debug, PartialEq, Eq)]
 pub struct Fault {
     /// Path of the field, such as `pipelines.sign-off.stages[1].pool`.
     pub field: String,
-    /// Line in the file, from 1, where it is known.
+    /// Line in the file, starting at 1, if known.
     pub line: Option<u64>,
     /// What is wrong.
     pub kind: FaultKind,
@@ -47,14 +48,14 @@
     /// A reference to something that isn't declared.
     #[error("names {kind} '{name}', which is not declared; declare it or correct the name")]
     Unknown {
-        /// What kind of thing was looked for.
+        /// Kind of object that is referred to.
         kind: &'static str,
         /// The name as given.
         name: String,
     },
-    /// The same name twice in a list.
+    /// A name that is used twice in a list.
     #[error("'{0}' is declared twice; remove or rename one")]
-    Twice(String),
+    Duplicate(String),
     /// A number outside its range.
     #[error("must be {0}")]
     Range(&'static str),
@@ -67,55 +68,55 @@
     /// A stage that no declared target can run.
     #[error("no target of pool '{0}' can run this stage; add one or give one the model")]
     NoTargets(String),
-    /// A deadline that the stages can't meet.
+    /// A deadline shorter than the stages' minimum times together.
     #[error("is shorter than its stages' least time of {least_ms} ms; raise it or drop a stage")]
     DeadlineShort {
-        /// Sum of the stages' least times.
+        /// Sum of the stages' minimum times, ms.
         least_ms: u64,
     },
     /// An unknown or missing field, or a value of the wrong type.
     #[error("{text}{hint}")]
     Value {
-        /// What the parser says.
+        /// Message of the parser.
         text: String,
-        /// What to do, where the parser doesn't say it.
+        /// How to correct it, if the parser's message doesn't tell; otherwise empty.
         hint: &'static str,
     },
-    /// A name that can't stand in a path or header.
+    /// A name that is not valid in a path or header.
     #[error(
         "'{0}' can't be a name; use 1 to 64 letters, digits, '-', '_' and '.', a letter or digit \
          first"
     )]
     Name(String),
-    /// Two targets at one address.
+    /// Two targets with the same address.
     #[error("{address} is the address of target '{first}' too; correct or remove one")]
-    Address {
+    DuplicateAddress {
         /// The address as given.
         address: String,
-        /// The target that was given it first.
+        /// The first target with this address.
         first: String,
     },
-    /// A warning: an exception that has ended.
+    /// Warning: an exception that has expired.
     #[error("has passed; remove the exception")]
     Expired,
-    /// A warning: a deadline that most requests will miss.
+    /// Warning: a deadline that most requests will miss.
     #[error("is shorter than its stages' typical time of {typical_ms} ms; most requests will miss")]
     DeadlineTight {
-        /// Sum of the stages' typical times.
+        /// Sum of the stages' typical times, ms.
         typical_ms: u64,
     },
-    /// A warning: hosts that have no target within the placement.
+    /// Warning: failure domains whose hosts have no target within the placement.
     #[error(
         "has no target within its placement for hosts of {domains}; add one or widen placement"
     )]
     OutOfReach {
-        /// The failure domains.
+        /// The failure domains, separated by commas.
         domains: String,
     },
 }
 
 impl ParseError {
-    /// Line of the first fault, from 1, where it is known.
+    /// Line of the first fault whose line is known, starting at 1.
     pub fn line(&self) -> Option<u64> {
         match self {
             Self::Yaml(err) => err.location().map(|l| l.line()).filter(|line| *line > 0),
--- a/crates/conf/src/fleet.rs
+++ b/crates/conf/src/fleet.rs
@@ -1,20 +1,20 @@
-//! The fleet's configuration as operators declare it, in YAML kept in version control.
+//! The fleet's configuration as operators declare it, in YAML files under version control.
 
 use base::{DomainId, ModelId, Ms, PipelineId, PoolId, RegionId, StageId, TargetId, WorkspaceId};
 use serde::{Deserialize, Serialize};
 
 use crate::{Defaults, ParseError, Placement, Priority};
 
-/// Everything that operators declare for all hosts.
+/// The configuration that applies to all hosts.
 #[derive(Clone, Debug, PartialEq, Serialize, Deserialize)]
 #[serde(deny_unknown_fields)]
 pub struct Fleet {
     /// Name of the deployment, shown in logs and audit records.
     pub deployment: String,
-    /// What cost weighs against attainment, 0 (only attainment) to 1 (only cost). It sets how
-    /// much gained time a crossing between regions must earn.
+    /// Weight of cost against attainment, from 0 (only attainment counts) to 1 (only cost counts). It
+    /// sets how much time a transfer between regions must save.
     pub cost_weight: f64,
-    /// What holds where no exception says otherwise.
+    /// Defaults that apply unless a pipeline or exception overrides them.
     #[serde(default)]
     pub defaults: Defaults,
     /// Regions and their failure domains.
@@ -24,24 +24,24 @@
     pub models: Vec<Model>,
     /// Pools of interchangeable targets.
     pub pools: Vec<Pool>,
-    /// Who is served.
+    /// Workspaces whose requests are served.
     pub workspaces: Vec<Workspace>,
-    /// What is served.
+    /// Pipelines that callers may request.
     pub pipelines: Vec<Pipeline>,
-    /// The short list of deviations, each with a written reason.
+    /// Deviations from the defaults, each with a written reason.
     #[serde(default)]
     pub exceptions: Vec<Exception>,
 }
 
 impl Fleet {
-    /// Parses YAML and refuses unknown fields; [`crate::Plan::new`] checks that it can work.
+    /// Parses YAML and refuses unknown fields. [`crate::Plan::new`] checks the content.
     pub fn parse(yaml: &str) -> Result<Self, ParseError> {
-        serde_saphyr::from_str(yaml).map_err(|err| ParseError::refuse(err, yaml))
+        serde_saphyr::from_str(yaml).map_err(|err| ParseError::from_parser(err, yaml))
     }
 
-    /// Writes the configuration as YAML.
+    /// Serializes the configuration as YAML.
     pub fn to_yaml(&self) -> String {
-        serde_saphyr::to_string(self).expect("a parsed configuration can be written")
+        serde_saphyr::to_string(self).expect("a configuration can be serialized")
     }
 }
 
@@ -51,10 +51,10 @@
 pub struct Region {
     /// Its name.
     pub name: RegionId,
-    /// Time one way to the other regions, ms. Default 30.
+    /// One-way latency to the other regions, ms. Default 30.
     #[serde(default = "far_ms")]
     pub far_ms: Ms,
-    /// Cost of a gigabyte to another region, in the configuration's unit of cost. Default 1.
+    /// Cost per gigabyte sent to another region, in the configuration's unit of cost. Default 1.
     #[serde(default = "one")]
     pub cost_per_gb: f64,
     /// Its failure domains.
@@ -67,7 +67,7 @@
 pub struct Domain {
     /// Its name.
     pub name: DomainId,
-    /// Time one way to the region's other failure domains, ms. Default 1.
+    /// One-way latency to the region's other failure domains, ms. Default 1.
     #[serde(default = "near_ms")]
     pub near_ms: Ms,
 }
@@ -78,15 +78,15 @@
 pub struct Model {
     /// Its name.
     pub name: ModelId,
-    /// Cost of a thousand tokens read, in the configuration's unit of cost. Default 0.
+    /// Cost per thousand input tokens, in the configuration's unit of cost. Default 0.
     #[serde(default)]
     pub cost_in: f64,
-    /// Cost of a thousand tokens generated. Default 0.
+    /// Cost per thousand generated tokens. Default 0.
     #[serde(default)]
     pub cost_out: f64,
 }
 
-/// What a pool's targets are.
+/// Kind of a pool's targets.
 #[derive(Clone, Copy, Debug, PartialEq, Eq, Hash, Serialize, Deserialize)]
 #[serde(rename_all = "lowercase")]
 pub enum PoolKind {
@@ -94,7 +94,7 @@
     Engine,
     /// Encoders, retrievers or rerankers.
     Stage,
-    /// Plain services; some of their calls may not be repeated.
+    /// Other services; some of their calls may not be repeated.
     Service,
 }
 
@@ -104,12 +104,12 @@
 pub struct Pool {
     /// Its name.
     pub name: PoolId,
-    /// What its targets are.
+    /// Kind of its targets.
     pub kind: PoolKind,
-    /// Cost of one call, in the configuration's unit of cost. Default 0.
+    /// Cost per call, in the configuration's unit of cost. Default 0.
     #[serde(default)]
     pub cost_call: f64,
-    /// Whether its targets refuse an order that carries an old fencing number. Default false.
+    /// Whether its targets refuse an order with an outdated fencing token. Default false.
     #[serde(default)]
     pub checks_fence: bool,
     /// Its targets.
@@ -124,12 +124,12 @@
     pub name: TargetId,
     /// Its failure domain.
     pub domain: DomainId,
-    /// IP number and port.
+    /// IP address and port.
     pub address: String,
-    /// Requests it runs at once. Default 8.
+    /// Requests that it runs concurrently. Default 8.
     #[serde(default = "slots")]
     pub slots: u32,
-    /// Models it has; empty for pools without models.
+    /// Models that it can run; empty in pools without models.
     #[serde(default, skip_serializing_if = "Vec::is_empty")]
     pub models: Vec<ModelId>,
 }
@@ -140,21 +140,21 @@
 pub struct Workspace {
     /// Its name.
     pub name: WorkspaceId,
-    /// Its share of what is scarce, against the other workspaces' weights. Default 1.
+    /// Its share of scarce capacity, relative to the weights of the other workspaces. Default 1.
     #[serde(default = "one")]
     pub weight: f64,
 }
 
-/// A pipeline: stages in order under one deadline.
+/// A pipeline: a sequence of stages with one deadline.
 #[derive(Clone, Debug, PartialEq, Serialize, Deserialize)]
 #[serde(deny_unknown_fields)]
 pub struct Pipeline {
-    /// Its name, as callers give it.
+    /// Its name, as used by callers.
     pub name: PipelineId,
-    /// Time a request has from its arrival, ms. Default: the fleet's.
+    /// Deadline of a request, counted from its arrival, ms. Default: the fleet's.
     #[serde(default, skip_serializing_if = "Option::is_none")]
     pub deadline_ms: Option<Ms>,
-    /// Priority of a request that carries none. Default: the fleet's.
+    /// Priority of a request that gives none. Default: the fleet's.
     #[serde(default, skip_serializing_if = "Option::is_none")]
     pub priority: Option<Priority>,
     /// Where its stages may run. Default: the fleet's.
@@ -172,22 +172,22 @@
     pub name: StageId,
     /// The pool that runs it.
     pub pool: PoolId,
-    /// The model that an engine must have.
+    /// The model that the target must be able to run.
     #[serde(default, skip_serializing_if = "Option::is_none")]
     pub model: Option<ModelId>,
-    /// False for work that runs at most once, such as a sign-off or an order. Default true.
+    /// False for work that must run at most once, such as a sign-off or an order. Default true.
     #[serde(default = "yes")]
     pub repeatable: bool,
     /// True when the answer is streamed token by token. Default false.
     #[serde(default)]
     pub stream: bool,
-    /// Most tokens it generates. Default 256.
+    /// Maximum number of tokens that it generates. Default 256.
     #[serde(default = "max_tokens")]
     pub max_tokens: u32,
-    /// What it takes when nothing is learned yet, ms. Default 50.
+    /// Expected run time until measurements are available, ms. Default 50.
     #[serde(default = "typical_ms")]
     pub typical_ms: Ms,
-    /// What it takes at the very least, ms. Default 1.
+    /// Minimum run time, ms. Default 1.
     #[serde(default = "least_ms")]
     pub least_ms: Ms,
 }
@@ -201,25 +201,25 @@
     /// Why it is needed. Must not be empty.
     #[serde(default)]
     pub reason: String,
-    /// Only this workspace; all when missing.
+    /// Applies to this workspace only; to all when missing.
     #[serde(default, skip_serializing_if = "Option::is_none")]
     pub workspace: Option<WorkspaceId>,
-    /// Only this pipeline; all when missing.
+    /// Applies to this pipeline only; to all when missing.
     #[serde(default, skip_serializing_if = "Option::is_none")]
     pub pipeline: Option<PipelineId>,
-    /// When it ends, ms since the Unix epoch; never when missing.
+    /// When it expires, ms since the Unix epoch; never when missing.
     #[serde(default, skip_serializing_if = "Option::is_none")]
     pub until_ms: Option<Ms>,
-    /// Deadline instead of the default, ms.
+    /// Deadline that replaces the default, ms.
     #[serde(default, skip_serializing_if = "Option::is_none")]
     pub deadline_ms: Option<Ms>,
-    /// Priority instead of the default.
+    /// Priority that replaces the default.
     #[serde(default, skip_serializing_if = "Option::is_none")]
     pub priority: Option<Priority>,
-    /// Placement instead of the default.
+    /// Placement that replaces the default.
     #[serde(default, skip_serializing_if = "Option::is_none")]
     pub placement: Option<Placement>,
-    /// Weight of the workspace instead of its own.
+    /// Weight that replaces the workspace's own.
     #[serde(default, skip_serializing_if = "Option::is_none")]
     pub weight: Option<f64>,
 }
--- a/crates/conf/src/kind.rs
+++ b/crates/conf/src/kind.rs
@@ -1,25 +1,25 @@
-//! Which of the two kinds of file a text is.
+//! Detects which of the two kinds of file a text is.
 
-use crate::locate::Located;
+use crate::source_map::SourceMap;
 
-/// What a file declares.
+/// Kind of a configuration file.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 pub enum FileKind {
-    /// Settings of one host.
+    /// The settings of one host.
     Settings,
     /// The fleet's configuration.
     Fleet,
 }
 
 impl FileKind {
-    /// Settings have a field `host`, a configuration has `pipelines` or `deployment`. `None` when
-    /// the text has none of them or isn't a map.
+    /// Detects the kind: settings have a field `host`, a configuration has `pipelines` or
+    /// `deployment`. `None` when the text has none of them or isn't a YAML map.
     pub fn of(yaml: &str) -> Option<Self> {
-        let located = Located::read(yaml)?;
+        let source_map = SourceMap::read(yaml)?;
         match () {
-            () if located.has_key("host") => Some(Self::Settings),
-            () if located.has_key("pipelines") => Some(Self::Fleet),
-            () if located.has_key("deployment") => Some(Self::Fleet),
+            () if source_map.has_key("host") => Some(Self::Settings),
+            () if source_map.has_key("pipelines") => Some(Self::Fleet),
+            () if source_map.has_key("deployment") => Some(Self::Fleet),
             () => None,
         }
     }
--- a/crates/conf/src/lib.rs
+++ b/crates/conf/src/lib.rs
@@ -1,19 +1,19 @@
-//! What a host is told: its own settings, and the fleet's configuration.
+//! Parses and checks a host's settings and the fleet's configuration.
 //!
 //! [`Settings`] belong to one process and are read once from a YAML file. [`Fleet`] is what
 //! operators declare for all hosts: pipelines, defaults and exceptions. [`Plan`] is a checked
-//! `Fleet`, ready for decisions.
+//! `Fleet`, indexed for lookups at run time.
 
 mod check;
 mod defaults;
 mod error;
 mod fleet;
 mod kind;
-mod locate;
 mod names;
+mod parse_fault;
 mod plan;
-mod refuse;
 mod settings;
+mod source_map;
 mod warn;
 
 pub use defaults::{Defaults, Placement, Priority};
--- a/crates/conf/src/plan.rs
+++ b/crates/conf/src/plan.rs
@@ -1,4 +1,4 @@
-//! A checked configuration, indexed for decisions.
+//! A checked configuration, indexed for lookups at run time.
 
 use base::{DomainId, Generation, ModelId, Ms, PipelineId, PoolId, RegionId, StageId, TargetId};
 use serde::{Deserialize, Serialize};
@@ -7,19 +7,19 @@
 use crate::fleet::{Exception, Fleet, PoolKind};
 use crate::{ParseError, Placement, Priority, check};
 
-/// A configuration that passed every check, with its references resolved to indexes.
+/// A configuration that passed all checks, with its references resolved to indexes.
 ///
-/// Indexes are positions in this plan's vectors and mean nothing in another plan.
+/// Indexes are positions in this plan's vectors and are not valid for another plan.
 #[derive(Clone, Debug, Serialize, Deserialize)]
 #[serde(try_from = "PlanFile", into = "PlanFile")]
 pub struct Plan {
-    /// Which accepted configuration this is.
+    /// Number of the accepted configuration.
     pub generation: Generation,
-    /// What it was made from.
+    /// The configuration that the plan was built from.
     pub fleet: Fleet,
     /// All targets of all pools.
     pub targets: Vec<PlanTarget>,
-    /// Stages of each pipeline, in the pipelines' order.
+    /// Stages of each pipeline, in the order of [`Fleet::pipelines`].
     pub stages: Vec<Vec<PlanStage>>,
     targets_at: HashMap<TargetId, usize>,
     pipelines_at: HashMap<String, usize>,
@@ -27,7 +27,7 @@
     regions_of: HashMap<DomainId, RegionId>,
 }
 
-/// How a plan is written down: what it was made from. Reading it checks it again.
+/// Serialized form of a plan: only what it was built from. Deserializing runs the checks again.
 #[derive(Serialize, Deserialize)]
 struct PlanFile {
     generation: Generation,
@@ -47,24 +47,24 @@
     }
 }
 
-/// A target with its pool's facts beside it.
+/// A target together with the properties of its pool.
 #[derive(Clone, Debug)]
 pub struct PlanTarget {
     /// Its name.
     pub name: TargetId,
     /// Its pool.
     pub pool: PoolId,
-    /// What it is.
+    /// Kind of its pool.
     pub kind: PoolKind,
     /// Its failure domain.
     pub domain: DomainId,
     /// The region of that failure domain.
     pub region: RegionId,
-    /// IP number and port.
+    /// IP address and port.
     pub address: String,
-    /// Requests it runs at once.
+    /// Requests that it runs concurrently.
     pub slots: u32,
-    /// Models it has.
+    /// Models that it can run.
     pub models: Vec<ModelId>,
 }
 
@@ -75,34 +75,34 @@
     pub name: StageId,
     /// The pool that runs it.
     pub pool: PoolId,
-    /// The model that an engine must have.
+    /// The model that the target must be able to run.
     pub model: Option<ModelId>,
-    /// False for work that runs at most once.
+    /// False for work that must run at most once.
     pub repeatable: bool,
-    /// True when the answer is streamed.
+    /// True when the answer is streamed token by token.
     pub stream: bool,
-    /// Most tokens it generates.
+    /// Maximum number of tokens that it generates.
     pub max_tokens: u32,
-    /// What it takes when nothing is learned yet, ms.
+    /// Expected run time until measurements are available, ms.
     pub typical_ms: Ms,
-    /// What it takes at the very least, ms.
+    /// Minimum run time, ms.
     pub least_ms: Ms,
-    /// Cost of one call.
+    /// Cost per call.
     pub cost_call: f64,
-    /// Cost of a thousand tokens read.
+    /// Cost per thousand input tokens.
     pub cost_in: f64,
-    /// Cost of a thousand tokens generated.
+    /// Cost per thousand generated tokens.
     pub cost_out: f64,
-    /// Indexes into [`Plan::targets`].
+    /// Targets that can run it, as indexes into [`Plan::targets`].
     pub targets: Vec<usize>,
 }
 
-/// What holds for one workspace and pipeline, and why.
+/// The effective values for one workspace and pipeline, each with its source.
 #[derive(Clone, Debug, PartialEq)]
 pub struct Effective {
-    /// Time from arrival, ms.
+    /// Deadline, counted from a request's arrival, ms.
     pub deadline_ms: (Ms, Source),
-    /// Priority of a request that carries none.
+    /// Priority of a request that gives none.
     pub priority: (Priority, Source),
     /// Where its stages may run.
     pub placement: (Placement, Source),
@@ -110,7 +110,7 @@
     pub weight: (f64, Source),
 }
 
-/// Which declaration decided a value.
+/// The declaration that a value comes from.
 #[derive(Clone, Debug, PartialEq, Eq)]
 pub enum Source {
     /// The fleet's default.
@@ -124,7 +124,7 @@
 }
 
 impl Plan {
-    /// Parses and checks YAML; faults are given with their lines.
+    /// Parses and checks YAML; faults are reported with their lines.
     pub fn parse(generation: Generation, yaml: &str) -> Result<Self, ParseError> {
         let fleet = Fleet::parse(yaml)?;
         Self::new(generation, fleet).map_err(|err| err.locate(yaml))
@@ -203,32 +203,36 @@
         &self.fleet.pipelines[pipeline].name
     }
 
-    /// Whether any stage of the pipeline may not be repeated.
+    /// Whether the pipeline has a stage that may not be repeated.
     pub fn has_unrepeatable(&self, pipeline: usize) -> bool {
         self.stages[pipeline].iter().any(|s| !s.repeatable)
     }
 
-    /// What holds at `now`, and which declaration decided it.
+    /// The effective values at `now`, and the declaration that each comes from.
     ///
-    /// Among exceptions that fit, the one that names more wins, then the later in the list.
+    /// If several exceptions match, one that names both workspace and pipeline takes precedence over
+    /// one that names fewer; among equals, the later in the list does.
     pub fn effective(&self, workspace: usize, pipeline: usize, now: Ms) -> Effective {
         let defaults = &self.fleet.defaults;
         let space = &self.fleet.workspaces[workspace];
         let pipe = &self.fleet.pipelines[pipeline];
-        let own = |set: bool| if set { Source::Pipeline } else { Source::Default };
+        let base_source = |set: bool| if set { Source::Pipeline } else { Source::Default };
         let mut out = Effective {
             deadline_ms: (
                 pipe.deadline_ms.unwrap_or(defaults.deadline_ms),
-                own(pipe.deadline_ms.is_some()),
+                base_source(pipe.deadline_ms.is_some()),
+            ),
+            priority: (
+                pipe.priority.unwrap_or(defaults.priority),
+                base_source(pipe.priority.is_some()),
             ),
-            priority: (pipe.priority.unwrap_or(defaults.priority), own(pipe.priority.is_some())),
             placement: (
                 pipe.placement.unwrap_or(defaults.placement),
-                own(pipe.placement.is_some()),
+                base_source(pipe.placement.is_some()),
             ),
             weight: (space.weight, Source::Workspace),
         };
-        let mut fitting: Vec<&Exception> = self
+        let mut matching: Vec<&Exception> = self
             .fleet
             .exceptions
             .iter()
@@ -236,8 +240,8 @@
             .filter(|e| e.pipeline.as_ref().is_none_or(|p| *p == pipe.name))
             .filter(|e| e.until_ms.is_none_or(|until| now < until))
             .collect();
-        fitting.sort_by_key(|e| u8::from(e.workspace.is_some()) + u8::from(e.pipeline.is_some()));
-        for e in fitting {
+        matching.sort_by_key(|e| u8::from(e.workspace.is_some()) + u8::from(e.pipeline.is_some()));
+        for e in matching {
             let source = || Source::Exception(e.name.clone());
             if let Some(v) = e.deadline_ms {
                 out.deadline_ms = (v, source());
--- a/crates/conf/src/settings.rs
+++ b/crates/conf/src/settings.rs
@@ -6,49 +6,50 @@
 
 use crate::{Fault, FaultKind, ParseError, names};
 
-/// What one host process is told at its start.
+/// The settings that a host process reads at its start.
 #[derive(Clone, Debug, PartialEq, Serialize, Deserialize)]
 #[serde(deny_unknown_fields)]
 pub struct Settings {
     /// This host's name, unique in the fleet.
     pub host: HostId,
-    /// The failure domain it stands in.
+    /// The failure domain that it belongs to.
     pub domain: DomainId,
     /// The region of that failure domain.
     pub region: RegionId,
-    /// Where callers connect.
+    /// Address that callers connect to.
     pub listen: SocketAddr,
-    /// Where the balancer and operators read health and metrics.
+    /// Address where the load balancer and operators read health and metrics.
     pub admin: SocketAddr,
-    /// Where other hosts connect.
+    /// Address that other hosts connect to.
     pub peer: SocketAddr,
-    /// The platform's object API.
+    /// Address of the platform's object API.
     pub platform: SocketAddr,
-    /// Hosts to learn from at the start, besides the platform's list. Default none.
+    /// Hosts to contact at start, in addition to the platform's list of hosts. Default none.
     #[serde(default)]
     pub seeds: Vec<Peer>,
-    /// Bounds on what callers and targets send.
+    /// Limits on what callers and targets send.
     #[serde(default)]
     pub limits: Limits,
-    /// How long a connection may say nothing.
+    /// How long a connection may be silent.
     #[serde(default)]
     pub silence: Silence,
     /// Records of work that may not be repeated.
     #[serde(default)]
     pub journal: JournalSettings,
-    /// How often the host speaks to the platform, peers and targets.
+    /// How often the host contacts the platform, peers and targets.
     #[serde(default)]
     pub rates: Rates,
-    /// Longest wait for open requests at a graceful stop, ms; then the rest is given up on.
+    /// Time that open requests have to finish at a graceful stop, ms; those left are aborted.
     /// Default 30000.
     #[serde(default = "drain_ms")]
     pub drain_ms: Ms,
-    /// Seed of the policy's generator; hosts with the same seed still differ by name. Default 1.
+    /// Seed of the policy's random number generator. Hosts with the same seed still differ by name.
+    /// Default 1.
     #[serde(default = "seed")]
     pub seed: u64,
 }
 
-/// Another host, by address.
+/// The name and address of another host.
 #[derive(Clone, Debug, PartialEq, Serialize, Deserialize)]
 #[serde(deny_unknown_fields)]
 pub struct Peer {
@@ -56,28 +57,31 @@
     pub host: HostId,
     /// Its failure domain.
     pub domain: DomainId,
-    /// Where it takes connections of other hosts.
+    /// Address that other hosts connect to.
     pub address: SocketAddr,
 }
 
-/// Bounds on what is read from outside.
+/// Limits on what is read from callers and targets.
 #[derive(Clone, Debug, PartialEq, Serialize, Deserialize)]
 #[serde(default, deny_unknown_fields)]
 pub struct Limits {
-    /// Bytes of a caller's headers. Default 16384.
+    /// Maximum size of a caller's headers, bytes. Default 16384.
     pub header_bytes: usize,
-    /// Bytes of a caller's body. Default 1048576.
+    /// Maximum size of a caller's body, bytes. Default 1048576.
     pub body_bytes: usize,
-    /// Bytes of a stage's answer. Default 4194304.
+    /// Maximum size of a stage's answer, bytes. Default 4194304.
     pub answer_bytes: usize,
-    /// Time for a caller to send headers, and then its body, ms each. Default 10000.
+    /// Time in which a caller must send its headers, and again for its body, ms. Default 10000.
     pub read_ms: Ms,
-    /// Open connections of callers; more are closed at once. Default 10000.
+    /// Maximum number of open connections of callers; further ones are closed immediately.
+    /// Default 10000.
     pub connections: usize,
-    /// Time to connect to a target, ms. Above a second, so that one lost packet, which the system
-    /// sends again after a second, is no failure. Default 1500.
+    /// Time-out for a connection to a target, ms. Above one second, because the operating system
+    /// retransmits a lost packet after one second, and a single loss should not be a failure.
+    /// Default 1500.
     pub connect_ms: Ms,
-    /// How long a stream is kept for a caller whose connection broke, ms. Default 5000.
+    /// How long a stream is kept for a caller whose connection broke, so that it can resume, ms.
+    /// Default 5000.
     pub resume_ms: Ms,
 }
 
@@ -95,16 +99,16 @@
     }
 }
 
-/// How long a connection may say nothing before it is taken for dead.
+/// How long a connection may be silent before it is considered dead.
 #[derive(Clone, Debug, PartialEq, Serialize, Deserialize)]
 #[serde(default, deny_unknown_fields)]
 pub struct Silence {
-    /// Target that owes a piece or an answer: after this, a probe on a new connection, ms.
-    /// Default 2000.
+    /// Target that has a piece or an answer outstanding: after this time, it is probed on a new
+    /// connection, ms. Default 2000.
     pub target_ms: Ms,
-    /// Object API call, ms. Default 1000.
+    /// Call to the object API, ms. Default 1000.
     pub platform_ms: Ms,
-    /// Watch on the object API past its agreed wait, ms. Default 2000.
+    /// Watch on the object API, in addition to the wait that it asked for, ms. Default 2000.
     pub watch_ms: Ms,
     /// Call to another host, ms. Default 500.
     pub peer_ms: Ms,
@@ -125,25 +129,26 @@
 #[derive(Clone, Debug, PartialEq, Serialize, Deserialize)]
 #[serde(default, deny_unknown_fields)]
 pub struct JournalSettings {
-    /// Shard objects. All hosts must agree; it can't change while keys live. Default 512.
+    /// Number of shard objects. It must be the same on all hosts, and can't change while keys are
+    /// remembered. Default 512.
     pub shards: u32,
-    /// Shards that take new keys at a time; the others hold older keys. More lanes mean more
-    /// writes a second for the same wait. All hosts must agree. Default 1.
+    /// Number of shards that accept new keys at a time; the others hold older keys. More lanes allow
+    /// more writes per second at the same latency. It must be the same on all hosts. Default 1.
     pub lanes: u32,
     /// How long a key is remembered; older keys are refused, ms. Default 600000.
     pub window_ms: Ms,
-    /// How far a caller's clock may be ahead, ms. Default 60000.
+    /// How far a caller's clock may be ahead of the host's, ms. Default 60000.
     pub ahead_ms: Ms,
-    /// Largest answer kept for a re-send, bytes; larger ones are answered as `unknown`.
-    /// Default 4096.
+    /// Largest answer that is stored for re-sends, bytes. Re-sends of a request with a larger one are
+    /// answered as `unknown`. Default 4096.
     pub answer_bytes: usize,
-    /// Least time between two commits of a shard, ms; keys that come in between share the next.
-    /// Default 25.
+    /// Minimum time between two commits of a shard, ms; keys that arrive in between share the next
+    /// one. Default 25.
     pub commit_ms: Ms,
-    /// Longest wait for a key's record, ms; then its request is refused. Default 2000.
+    /// Time-out for recording a key, ms; after it, the request is refused. Default 2000.
     pub claim_ms: Ms,
-    /// How long a key that started is answered as `running` while its host is alive, ms; then as
-    /// `unknown`. Longer than any deadline. Default 60000.
+    /// How long a started key is answered as `running` while its host is alive, ms; after that, as
+    /// `unknown`. Must be longer than any deadline. Default 60000.
     pub running_ms: Ms,
 }
 
@@ -162,22 +167,22 @@
     }
 }
 
-/// How often the host speaks to others.
+/// How often the host contacts others.
 #[derive(Clone, Debug, PartialEq, Serialize, Deserialize)]
 #[serde(default, deny_unknown_fields)]
 pub struct Rates {
-    /// Heartbeat and digest to a few peers, ms. Default 1000.
+    /// Interval of heartbeats and digests to a few peers, ms. Default 1000.
     pub gossip_ms: Ms,
-    /// Peers per digest. Default 2.
+    /// Number of peers that each digest is sent to. Default 2.
     pub fanout: usize,
-    /// Watchers per failure domain. Default 2.
+    /// Number of hosts per failure domain that watch the platform. Default 2.
     pub watchers: usize,
-    /// Poll of a target's load by its poller, ms. Default 500.
+    /// Interval at which a target's poller reads its load, ms. Default 500.
     pub poll_ms: Ms,
-    /// Calls to the object API by this host, a second at most. The preferred writer of the newest
+    /// Maximum calls per second from this host to the object API. The preferred writer of the newest
     /// journal shard alone makes up to 60. Default 100.
     pub platform_calls: u32,
-    /// A peer unheard of for this long is taken for dead, ms. Default 5000.
+    /// A peer without heartbeats for this long is considered dead, ms. Default 5000.
     pub suspect_ms: Ms,
 }
 
@@ -198,7 +203,7 @@
     /// Parses and checks YAML. Unknown fields are refused with line and column.
     pub fn parse(yaml: &str) -> Result<Self, ParseError> {
         let settings: Self =
-            serde_saphyr::from_str(yaml).map_err(|err| ParseError::refuse(err, yaml))?;
+            serde_saphyr::from_str(yaml).map_err(|err| ParseError::from_parser(err, yaml))?;
         match settings.faults() {
             faults if faults.is_empty() => Ok(settings),
             faults => Err(ParseError::Faults(faults).locate(yaml)),
@@ -238,13 +243,13 @@
             ("rates.platform_calls", self.rates.platform_calls >= 1, "at least 1"),
         ];
         let names = [
-            names::setting("host", self.host.as_str()),
-            names::setting("domain", self.domain.as_str()),
-            names::setting("region", self.region.as_str()),
+            names::check_setting("host", self.host.as_str()),
+            names::check_setting("domain", self.domain.as_str()),
+            names::check_setting("region", self.region.as_str()),
         ];
-        let fault = |(field, good, range): (&str, bool, _)| {
+        let fault = |(field, valid, range): (&str, bool, _)| {
             let kind = FaultKind::Range(range);
-            (!good).then(|| Fault { field: field.to_owned(), line: None, kind })
+            (!valid).then(|| Fault { field: field.to_owned(), line: None, kind })
         };
         names.into_iter().chain(ranges.into_iter().map(fault)).flatten().collect()
     }
--- a/crates/conf/src/locate.rs
+++ b/crates/conf/src/source_map.rs
@@ -1,15 +1,15 @@
-//! Finds the line of a field in YAML text.
+//! Maps field paths of a YAML text to line numbers.
 //!
-//! Parsing gives typed values without lines; a fault that shows only later, such as a reference
-//! to nothing, is looked up here in a second reading of the same text.
+//! Parsing gives typed values without line numbers. For a fault that is found only afterwards, such
+//! as a reference to something undeclared, the text is parsed a second time to look up the line.
 
 use serde::de::{Deserialize, Deserializer, Error, MapAccess, SeqAccess, Visitor};
 use serde_saphyr::{Location, NonFiniteFloatPolicy, Spanned, options};
 use std::fmt;
 
-/// A YAML document as lines and names.
+/// A parsed YAML document with the positions of its keys and values.
 #[derive(Debug)]
-pub(crate) struct Located {
+pub(crate) struct SourceMap {
     root: Node,
 }
 
@@ -20,20 +20,21 @@
     Leaf(String),
 }
 
-impl Located {
-    /// Reads `yaml` again; `None` when it is no YAML.
+impl SourceMap {
+    /// Parses `yaml` again; `None` when it is not valid YAML.
     pub(crate) fn read(yaml: &str) -> Option<Self> {
-        // Typed fields take `.nan` and `.inf` too, and leave them to the checks.
+        // Typed fields accept `.nan` and `.inf` too; the checks refuse them later.
         let options = options! { non_finite_float_policy: NonFiniteFloatPolicy::PassThrough };
         serde_saphyr::from_str_with_options(yaml, options).ok().map(|root| Self { root })
     }
 
-    /// Path of the field that begins at a line and column, as in [`crate::Fault::field`].
+    /// Path of the field that begins at this line and column, in the form of
+    /// [`crate::Fault::field`].
     pub(crate) fn path(&self, line: u64, column: u64) -> Option<String> {
         find(&self.root, "", (line, column))
     }
 
-    /// Whether the document is a map with this key.
+    /// Whether the document is a map with this top-level key.
     pub(crate) fn has_key(&self, key: &str) -> bool {
         match &self.root {
             Node::Map(entries) => entries.iter().any(|(k, _)| k.value == key),
@@ -41,22 +42,23 @@
         }
     }
 
-    /// Line of a field, from 1. The path is as in [`crate::Fault::field`]: keys and names of list
-    /// entries joined by dots, and indexes in brackets. Where the field is missing, the line of
-    /// the nearest one around it.
+    /// Line of a field, starting at 1. The path has the form of [`crate::Fault::field`]: keys and
+    /// names of list entries joined by dots, and indexes in brackets. If the field is missing, the
+    /// line of its nearest existing parent.
     pub(crate) fn line(&self, path: &str) -> Option<u64> {
         let (mut node, mut rest, mut line) = (&self.root, path, None);
-        while let Some((at, next, after)) = step(node, rest) {
-            line = Some(at);
-            node = next;
-            rest = after.trim_start_matches('.');
+        while let Some((child_line, child, tail)) = descend(node, rest) {
+            line = Some(child_line);
+            node = child;
+            rest = tail.trim_start_matches('.');
         }
         line
     }
 }
 
-/// The child that the path's head names: its line, itself and the path's rest.
-fn step<'a, 'p>(node: &'a Node, path: &'p str) -> Option<(u64, &'a Node, &'p str)> {
+/// Finds the child that the first part of `path` names. Returns its line, the child and the rest of
+/// the path.
+fn descend<'a, 'p>(node: &'a Node, path: &'p str) -> Option<(u64, &'a Node, &'p str)> {
     match node {
         Node::Map(entries) => entries.iter().find_map(|(key, child)| {
             let rest = after_name(path, &key.value)?;
@@ -77,33 +79,37 @@
     }
 }
 
-fn find(node: &Node, at: &str, place: (u64, u64)) -> Option<String> {
-    let starts = |l: Location| (l.line(), l.column()) == place;
+/// Searches `node`, whose own path is `at`, for the field that begins at `position`, given as line
+/// and column.
+fn find(node: &Node, at: &str, position: (u64, u64)) -> Option<String> {
+    let starts = |l: Location| (l.line(), l.column()) == position;
     match node {
         Node::Map(entries) => entries.iter().find_map(|(key, child)| {
             let at = if at.is_empty() { key.value.clone() } else { format!("{at}.{}", key.value) };
             let here = starts(key.referenced)
                 || matches!(child.value, Node::Leaf(_)) && starts(child.referenced);
-            if here { Some(at) } else { find(&child.value, &at, place) }
+            if here { Some(at) } else { find(&child.value, &at, position) }
         }),
         Node::List(items) => items.iter().enumerate().find_map(|(i, item)| {
             let at = format!("{at}[{i}]");
             if starts(item.referenced) && !matches!(item.value, Node::Map(_)) {
                 Some(at)
             } else {
-                find(&item.value, &at, place)
+                find(&item.value, &at, position)
             }
         }),
         Node::Leaf(_) => None,
     }
 }
 
-/// The path after `name`, when it begins with just that. Names may hold dots themselves.
+/// The rest of `path` after `name`, if the path begins with exactly this name. Names may contain
+/// dots themselves.
 fn after_name<'p>(path: &'p str, name: &str) -> Option<&'p str> {
     let rest = path.strip_prefix(name).filter(|_| !name.is_empty())?;
     (rest.is_empty() || rest.starts_with(['.', '['])).then_some(rest)
 }
 
+/// The value of a map's `name` field.
 fn name_of(node: &Node) -> Option<&str> {
     let Node::Map(entries) = node else { return None };
     let (_, name) = entries.iter().find(|(key, _)| key.value == "name")?;
--- a/crates/conf/src/warn.rs
+++ b/crates/conf/src/warn.rs
@@ -1,23 +1,23 @@
-//! What can work but is likely not meant.
+//! Warnings about a valid configuration that is probably not what the operator intended.
 
 use base::{DomainId, Ms};
 use std::collections::HashSet;
 
 use crate::fleet::Fleet;
-use crate::locate::Located;
 use crate::plan::Plan;
+use crate::source_map::SourceMap;
 use crate::{Fault, FaultKind, Placement};
 
-/// What is likely not meant, at `now`. It never stops a configuration: a host must not refuse
-/// tomorrow what was accepted today.
+/// Warnings about a configuration at `now`. They never make it invalid: some depend on the time, and
+/// a host must not refuse tomorrow what was accepted today.
 pub fn warnings(plan: &Plan, yaml: &str, now: Ms) -> Vec<Fault> {
     let mut out = Vec::new();
-    expired(&plan.fleet, now, &mut out);
-    tight(&plan.fleet, &mut out);
-    elsewhere(plan, &mut out);
-    let located = Located::read(yaml);
+    expired_exceptions(&plan.fleet, now, &mut out);
+    tight_deadlines(&plan.fleet, &mut out);
+    unreachable_stages(plan, &mut out);
+    let source_map = SourceMap::read(yaml);
     for warning in &mut out {
-        warning.line = located.as_ref().and_then(|l| l.line(&warning.field));
+        warning.line = source_map.as_ref().and_then(|l| l.line(&warning.field));
     }
     out
 }
@@ -26,13 +26,13 @@
     Fault { field, line: None, kind }
 }
 
-fn expired(fleet: &Fleet, now: Ms, out: &mut Vec<Fault>) {
+fn expired_exceptions(fleet: &Fleet, now: Ms, out: &mut Vec<Fault>) {
     for e in fleet.exceptions.iter().filter(|e| e.until_ms.is_some_and(|until| until <= now)) {
         out.push(warn(format!("exceptions.{}.until_ms", e.name), FaultKind::Expired));
     }
 }
 
-fn tight(fleet: &Fleet, out: &mut Vec<Fault>) {
+fn tight_deadlines(fleet: &Fleet, out: &mut Vec<Fault>) {
     for p in &fleet.pipelines {
         let deadline = p.deadline_ms.unwrap_or(fleet.defaults.deadline_ms);
         let typical = p.stages.iter().fold(Ms::ZERO, |sum, s| sum + s.typical_ms);
@@ -43,23 +43,28 @@
     }
 }
 
-/// Stages that hosts of some failure domain have no target for, because of the placement.
-fn elsewhere(plan: &Plan, out: &mut Vec<Fault>) {
+/// Finds stages for which the hosts of some failure domain have no target within the placement.
+fn unreachable_stages(plan: &Plan, out: &mut Vec<Fault>) {
     let domains: Vec<_> = plan.fleet.regions.iter().flat_map(|r| &r.domains).collect();
     for (pipeline, stages) in plan.fleet.pipelines.iter().zip(&plan.stages) {
         let placement = pipeline.placement.unwrap_or(plan.fleet.defaults.placement);
         for (i, stage) in stages.iter().enumerate() {
-            let has: HashSet<&DomainId> =
+            let has_target: HashSet<&DomainId> =
                 stage.targets.iter().map(|t| &plan.targets[*t].domain).collect();
-            let reach = |domain: &DomainId| match placement {
+            let reachable = |domain: &DomainId| match placement {
                 Placement::Anywhere => true,
-                Placement::Domain => has.contains(domain),
-                Placement::Region => has.iter().any(|d| plan.region(d) == plan.region(domain)),
+                Placement::Domain => has_target.contains(domain),
+                Placement::Region => {
+                    has_target.iter().any(|d| plan.region(d) == plan.region(domain))
+                }
             };
-            let cut: Vec<_> =
-                domains.iter().filter(|d| !reach(&d.name)).map(|d| d.name.to_string()).collect();
-            if !cut.is_empty() {
-                let kind = FaultKind::OutOfReach { domains: cut.join(", ") };
+            let without: Vec<_> = domains
+                .iter()
+                .filter(|d| !reachable(&d.name))
+                .map(|d| d.name.to_string())
+                .collect();
+            if !without.is_empty() {
+                let kind = FaultKind::OutOfReach { domains: without.join(", ") };
                 out.push(warn(format!("pipelines.{}.stages[{i}]", pipeline.name), kind));
             }
         }
--- a/crates/conf/tests/documented.rs
+++ b/crates/conf/tests/documented.rs
@@ -1,11 +1,12 @@
-//! The pages list every field with its default, and no other.
+//! Checks that the documentation lists exactly the fields of the configuration and the settings,
+//! with their defaults.
 
 use base::Generation;
 use conf::{Plan, Settings};
 use serde_json::Value;
 use std::collections::BTreeMap;
 
-/// Rows `| field | unit | default | ... |` of the first table with such a heading.
+/// Fields and defaults from the page's first table with the columns `| field | unit | default |`.
 fn rows(page: &str) -> BTreeMap<String, String> {
     let table = page.lines().skip_while(|l| !l.starts_with("| field |")).skip(2);
     let rows = table.take_while(|l| l.starts_with('|')).map(|line| {
@@ -16,17 +17,17 @@
     rows.collect()
 }
 
-/// Leaf fields by path, with `[]` for entries of a list.
-fn flat(at: &str, value: &Value, out: &mut BTreeMap<String, String>) {
+/// Collects leaf fields by path, with `[]` for entries of a list.
+fn flatten(at: &str, value: &Value, out: &mut BTreeMap<String, String>) {
     match value {
         Value::Object(map) => {
             for (key, value) in map {
                 let at = if at.is_empty() { key.clone() } else { format!("{at}.{key}") };
-                flat(&at, value, out);
+                flatten(&at, value, out);
             }
         }
         Value::Array(items) if items.iter().any(Value::is_object) => {
-            items.iter().for_each(|item| flat(&format!("{at}[]"), item, out));
+            items.iter().for_each(|item| flatten(&format!("{at}[]"), item, out));
         }
         Value::Array(items) if items.is_empty() => {
             out.insert(at.to_owned(), "none".to_owned());
@@ -46,24 +47,25 @@
 
 fn fields<T: serde::Serialize>(value: &T) -> BTreeMap<String, String> {
     let mut out = BTreeMap::new();
-    flat("", &serde_json::to_value(value).expect("JSON"), &mut out);
+    flatten("", &serde_json::to_value(value).expect("JSON"), &mut out);
     out
 }
 
-/// `least` has only what is required; `all` has every field.
-fn compare(page: &str, least: &str, least_fields: BTreeMap<String, String>, all: Vec<String>) {
+/// Compares a page with the fields in the code. `minimal` is a file with only the required fields
+/// and `minimal_fields` what it parses to; `all` lists every field.
+fn compare(page: &str, minimal: &str, minimal_fields: BTreeMap<String, String>, all: Vec<String>) {
     let rows = rows(page);
     let documented: Vec<_> = rows.keys().cloned().collect();
     assert_eq!(documented, all, "fields in the page and in the code");
     let mut wrong = Vec::new();
     for (field, default) in &rows {
         let name = field.rsplit(['.', ']']).next().unwrap_or(field);
-        let given = least
+        let given = minimal
             .lines()
             .any(|l| l.trim_start_matches([' ', '-']).starts_with(&format!("{name}:")));
-        match (default.as_str(), least_fields.get(field)) {
+        match (default.as_str(), minimal_fields.get(field)) {
             ("required", Some(_)) => assert!(given, "{field} has a default"),
-            // Without a default, the page says in words what holds.
+            // A field without a default: the page describes in words what applies.
             (_, None) => assert!(!default.is_empty()),
             (default, Some(value)) if default == value => {}
             (default, Some(value)) => wrong.push(format!("{field}: {default}, not {value}")),
@@ -74,7 +76,7 @@
 
 #[test]
 fn every_field_of_the_configuration_is_documented() {
-    const LEAST: &str = "\
+    const MINIMAL: &str = "\
 deployment: d
 cost_weight: 0.5
 regions:
@@ -110,9 +112,9 @@
     placement: region
     weight: 2
 ";
-    let parse = |yaml: &str| Plan::parse(Generation(1), yaml).expect("it passes").fleet;
+    let parse = |yaml: &str| Plan::parse(Generation(1), yaml).expect("the text is valid").fleet;
     let stage = "        pool: p\n        model: m\n";
-    let all = LEAST
+    let all = MINIMAL
         .replace("    address: 127.0.0.1:1\n", "    address: 127.0.0.1:1\n        models: [m]\n")
         .replace("        pool: p\n", stage)
         .replace(
@@ -120,20 +122,20 @@
             "  - name: l\n    deadline_ms: 10\n    priority: low\n    placement: region\n",
         );
     let mut all: Vec<_> = fields(&parse(&format!("{all}{ALL}"))).into_keys().collect();
-    // Paths of lists of names end without brackets, as in the page.
+    // The page lists lists of names without brackets at the end of the path.
     all.iter_mut().for_each(|f| *f = f.trim_end_matches("[]").to_owned());
-    let least =
-        format!("{LEAST}models:\n  - name: m\nexceptions:\n  - name: e\n    reason: because\n");
-    let mut given = fields(&parse(&format!("{least}    weight: 2\n")));
-    // An exception must change something; what, is left open.
+    let minimal =
+        format!("{MINIMAL}models:\n  - name: m\nexceptions:\n  - name: e\n    reason: because\n");
+    let mut given = fields(&parse(&format!("{minimal}    weight: 2\n")));
+    // An exception must change at least one value, but no particular one is required.
     given.remove("exceptions[].weight");
     let page = include_str!("../../../docs/configuration.md");
-    compare(page, &least, given, all);
+    compare(page, &minimal, given, all);
 }
 
 #[test]
 fn every_setting_is_documented() {
-    const LEAST: &str = "\
+    const MINIMAL: &str = "\
 host: h
 domain: d
 region: r
@@ -142,9 +144,9 @@
 peer: 127.0.0.1:3
 platform: 127.0.0.1:4
 ";
-    let parse = |yaml: &str| Settings::parse(yaml).expect("it passes");
+    let parse = |yaml: &str| Settings::parse(yaml).expect("the text is valid");
     let seeds = "seeds:\n  - host: x\n    domain: d\n    address: 127.0.0.1:5\n";
-    let all = fields(&parse(&format!("{LEAST}{seeds}"))).into_keys().collect();
+    let all = fields(&parse(&format!("{MINIMAL}{seeds}"))).into_keys().collect();
     let page = include_str!("../../../docs/OPERATIONS.md");
-    compare(page, &format!("{LEAST}{seeds}"), fields(&parse(&format!("{LEAST}{seeds}"))), all);
+    compare(page, &format!("{MINIMAL}{seeds}"), fields(&parse(&format!("{MINIMAL}{seeds}"))), all);
 }
--- a/crates/conf/tests/examples.rs
+++ b/crates/conf/tests/examples.rs
@@ -1,4 +1,4 @@
-//! The examples are whole, and have the sizes of the two deployments.
+//! Checks that the example files are valid and have the sizes of the two deployments.
 
 use base::{Generation, Ms};
 use conf::{FileKind, Plan, PoolKind, Settings};
@@ -24,7 +24,7 @@
 }
 
 #[test]
-fn cooperative_has_its_sizes() {
+fn cooperative_has_expected_sizes() {
     let plan = plan(COOPERATIVE);
     assert_eq!(domains(&plan), ["dakar-plateau", "saint-louis-ile", "thies-nord"].into());
     assert_eq!(plan.fleet.regions.len(), 3);
@@ -39,7 +39,7 @@
 }
 
 #[test]
-fn casing_and_quill_has_its_sizes() {
+fn casing_and_quill_has_expected_sizes() {
     let plan = plan(CASING_AND_QUILL);
     assert_eq!(domains(&plan), ["burlington-a", "hartford-a", "portland-a"].into());
     assert_eq!(plan.fleet.regions.len(), 3);
@@ -54,7 +54,7 @@
 }
 
 #[test]
-fn latencies_are_those_of_the_deployments() {
+fn latencies_match_the_deployments() {
     for yaml in [COOPERATIVE, CASING_AND_QUILL] {
         for region in &plan(yaml).fleet.regions {
             assert!((20..50).contains(&region.far_ms.0), "tens of milliseconds between regions");
@@ -64,18 +64,18 @@
 }
 
 #[test]
-fn every_service_and_engine_pool_reaches_every_domain() {
+fn service_and_engine_pools_have_targets_in_every_domain() {
     for yaml in [COOPERATIVE, CASING_AND_QUILL] {
         let plan = plan(yaml);
         for pool in plan.fleet.pools.iter().filter(|p| p.kind != PoolKind::Stage) {
-            let has: BTreeSet<_> = pool.targets.iter().map(|t| t.domain.as_str()).collect();
-            assert_eq!(has, domains(&plan), "{}", pool.name);
+            let with_target: BTreeSet<_> = pool.targets.iter().map(|t| t.domain.as_str()).collect();
+            assert_eq!(with_target, domains(&plan), "{}", pool.name);
         }
     }
 }
 
 #[test]
-fn host_settings_stand_in_the_cooperative() {
+fn host_settings_match_the_cooperative() {
     assert_eq!(FileKind::of(HOST), Some(FileKind::Settings));
     let settings = Settings::parse(HOST).expect("the example passes its checks");
     let plan = plan(COOPERATIVE);
--- a/crates/conf/tests/faults.rs
+++ b/crates/conf/tests/faults.rs
@@ -1,9 +1,10 @@
-//! Each fault of a configuration is told with its field, its line and what to do.
+//! Checks that each fault of a configuration is reported with its field, its line and how to correct
+//! it.
 
 use base::{Generation, Ms};
 use conf::{ParseError, Plan, Settings};
 
-/// A small configuration; the tests break one line of it.
+/// A small valid configuration. Each test case breaks one part of it.
 const FLEET: &str = "\
 deployment: small
 cost_weight: 0.5
@@ -63,7 +64,7 @@
     deadline_ms: 3000
 ";
 
-/// All faults after replacing `from` by `to` where it stands first.
+/// All faults after the first occurrence of `from` is replaced by `to`.
 fn faults(from: &str, to: &str) -> String {
     assert!(FLEET.contains(from), "{from}");
     match Plan::parse(Generation(1), &FLEET.replacen(from, to, 1)) {
@@ -74,7 +75,7 @@
 }
 
 #[test]
-fn the_small_configuration_is_sound() {
+fn the_small_configuration_is_valid() {
     assert_eq!(faults("small", "small"), "none");
 }
 
@@ -129,13 +130,13 @@
         ("deployment: small\n", ""),
         ("deployment: small", "deployment: small: ["),
     ];
-    let told: Vec<_> =
+    let messages: Vec<_> =
         cases.iter().map(|(from, to)| format!("{to:?}\n{}\n", faults(from, to))).collect();
-    insta::assert_snapshot!(told.join("\n"));
+    insta::assert_snapshot!(messages.join("\n"));
 }
 
 #[test]
-fn all_faults_are_told_not_only_the_first() {
+fn all_faults_are_reported_not_only_the_first() {
     let yaml = FLEET.replace("weight: 2", "weight: 0").replace("slots: 4", "slots: 0");
     let Err(ParseError::Faults(faults)) = Plan::parse(Generation(1), &yaml) else {
         panic!("two faults are expected");
@@ -146,16 +147,16 @@
 
 #[test]
 fn a_stage_without_targets_is_refused() {
-    let told = faults("        models: [org/writer:8b]\n", "");
+    let messages = faults("        models: [org/writer:8b]\n", "");
     assert_eq!(
-        told,
+        messages,
         "line 41: pipelines.sign-off.stages[0]: no target of pool 'engines' can run this stage; \
          add one or give one the model"
     );
 }
 
-/// Ended exceptions and tight deadlines are told, but never refused: a host that restarts must
-/// take today what was accepted yesterday.
+/// Expired exceptions and tight deadlines are reported as warnings only. A host that restarts must
+/// still accept the configuration that was accepted the day before.
 #[test]
 fn warnings_do_not_refuse() {
     let yaml = FLEET
@@ -163,10 +164,10 @@
         .replace("deadline_ms: 6000", "deadline_ms: 300")
         .replace("placement: anywhere", "placement: domain");
     let plan = Plan::parse(Generation(1), &yaml).expect("warnings only");
-    let told: Vec<_> =
+    let messages: Vec<_> =
         conf::warnings(&plan, &yaml, Ms(1000)).iter().map(ToString::to_string).collect();
-    insta::assert_snapshot!(told.join("\n"));
-    assert_eq!(conf::warnings(&plan, &yaml, Ms(999)).len(), told.len() - 1);
+    insta::assert_snapshot!(messages.join("\n"));
+    assert_eq!(conf::warnings(&plan, &yaml, Ms(999)).len(), messages.len() - 1);
 }
 
 #[test]
@@ -186,7 +187,7 @@
         "drain_ms: -1\n",
         "host: b\n",
     ];
-    let told: Vec<_> = cases
+    let messages: Vec<_> = cases
         .iter()
         .map(|more| {
             let err = Settings::parse(&format!("{HOST}{more}")).expect_err("it is refused");
@@ -194,10 +195,10 @@
                 ParseError::Yaml(err) => err.without_snippet().to_string(),
                 err => err.to_string(),
             };
-            // The fields that there are stand in the documentation's test.
+            // The list of known fields is covered by the test of the documentation.
             let err = err.split(", expected one of").next().unwrap_or_default();
             format!("{more}{err}\n")
         })
         .collect();
-    insta::assert_snapshot!(told.join("\n"));
+    insta::assert_snapshot!(messages.join("\n"));
 }
--- a/crates/conf/tests/mutated.rs
+++ b/crates/conf/tests/mutated.rs
@@ -1,5 +1,5 @@
-//! No text makes the parser or the checks panic, and what passes them can be written and read
-//! again.
+//! Checks that no input makes the parser or the checks panic, and that every accepted configuration
+//! can be serialized and parsed again.
 
 use base::{Generation, Ms};
 use conf::{FileKind, Fleet, Plan, Settings};
@@ -9,8 +9,8 @@
 const FLEET: &str = include_str!("../../../examples/cooperative.yaml");
 const HOST: &str = include_str!("../../../examples/host.yaml");
 
-/// What a hurried operator, a broken merge or a wrong tool leaves in a file.
-const PIECES: &[&str] = &[
+/// Fragments that a typing error, a failed merge or a wrong tool can leave in a file.
+const FRAGMENTS: &[&str] = &[
     "\n",
     " ",
     "  ",
@@ -53,24 +53,25 @@
     "..",
 ];
 
-/// One change: cut a span, put a piece in, double a span, cut or double a line, or change a digit.
+/// A mutation: cut or duplicate a span, insert a fragment, cut or duplicate a line, or change a
+/// digit.
 #[derive(Clone, Debug)]
 enum Edit {
     Cut(usize, usize),
-    Put(usize, &'static str),
-    Double(usize, usize),
+    Insert(usize, &'static str),
+    Duplicate(usize, usize),
     CutLine(usize),
-    DoubleLine(usize),
+    DuplicateLine(usize),
     Digit(usize, char),
 }
 
 fn edit() -> impl Strategy<Value = Edit> {
     prop_oneof![
         (any::<usize>(), 0usize..40).prop_map(|(at, n)| Edit::Cut(at, n)),
-        (any::<usize>(), prop::sample::select(PIECES)).prop_map(|(at, s)| Edit::Put(at, s)),
-        (any::<usize>(), 0usize..200).prop_map(|(at, n)| Edit::Double(at, n)),
+        (any::<usize>(), prop::sample::select(FRAGMENTS)).prop_map(|(at, s)| Edit::Insert(at, s)),
+        (any::<usize>(), 0usize..200).prop_map(|(at, n)| Edit::Duplicate(at, n)),
         any::<usize>().prop_map(Edit::CutLine),
-        any::<usize>().prop_map(Edit::DoubleLine),
+        any::<usize>().prop_map(Edit::DuplicateLine),
         (any::<usize>(), prop::char::range('0', '9')).prop_map(|(at, c)| Edit::Digit(at, c)),
         (any::<usize>(), prop::char::range('0', '9')).prop_map(|(at, c)| Edit::Digit(at, c)),
     ]
@@ -88,11 +89,11 @@
             Edit::Cut(at, n) => {
                 chars.drain(span(*at, *n));
             }
-            Edit::Put(at, s) => {
+            Edit::Insert(at, s) => {
                 let at = at % (len + 1);
                 chars.splice(at..at, s.chars());
             }
-            Edit::Double(at, n) => {
+            Edit::Duplicate(at, n) => {
                 let span = span(*at, *n);
                 let copy: Vec<char> = chars[span.clone()].to_vec();
                 chars.splice(span.start..span.start, copy);
@@ -100,7 +101,7 @@
             Edit::CutLine(at) => {
                 chars.drain(line(&chars, *at));
             }
-            Edit::DoubleLine(at) => {
+            Edit::DuplicateLine(at) => {
                 let span = line(&chars, *at);
                 let copy: Vec<char> = chars[span.clone()].to_vec();
                 chars.splice(span.start..span.start, copy);
@@ -117,7 +118,7 @@
     chars.into_iter().collect()
 }
 
-/// The span of the line around a place, its line break included.
+/// The range of the line around a position, including its line break.
 fn line(chars: &[char], at: usize) -> std::ops::Range<usize> {
     let at = at % (chars.len() + 1);
     let start = chars[..at].iter().rposition(|c| *c == '\n').map_or(0, |i| i + 1);
@@ -129,14 +130,15 @@
     Config { cases, rng_seed: RngSeed::Fixed(7), failure_persistence: None, ..Config::default() }
 }
 
-/// Every way in; gives whether it passed as a configuration.
-fn read(text: &str) -> bool {
+/// Runs every parser on the text; returns whether it is a valid configuration.
+fn parse_all(text: &str) -> bool {
     let _ = FileKind::of(text);
     let _ = Settings::parse(text).map_err(|err| (err.to_string(), err.line()));
     match Plan::parse(Generation(1), text) {
         Ok(plan) => {
             let _ = conf::warnings(&plan, text, Ms(1));
-            let again = Fleet::parse(&plan.fleet.to_yaml()).expect("what was written is read");
+            let again = Fleet::parse(&plan.fleet.to_yaml())
+                .expect("a serialized configuration can be parsed");
             assert_eq!(again, plan.fleet);
             true
         }
@@ -152,26 +154,26 @@
 
     #[test]
     fn a_mutated_configuration_never_panics(edits in prop::collection::vec(edit(), 1..6)) {
-        read(&apply(FLEET, &edits));
+        parse_all(&apply(FLEET, &edits));
     }
 
     #[test]
     fn mutated_settings_never_panic(edits in prop::collection::vec(edit(), 1..6)) {
-        read(&apply(HOST, &edits));
+        parse_all(&apply(HOST, &edits));
     }
 
     #[test]
     fn arbitrary_text_never_panics(text in any::<String>()) {
-        read(&text);
+        parse_all(&text);
     }
 
     #[test]
-    fn pieces_of_yaml_never_panic(parts in prop::collection::vec(prop::sample::select(PIECES), 0..60)) {
-        read(&parts.concat());
+    fn yaml_fragments_never_panic(parts in prop::collection::vec(prop::sample::select(FRAGMENTS), 0..60)) {
+        parse_all(&parts.concat());
     }
 }
 
-/// The mutations are of use only if some still pass and some don't.
+/// The mutations are useful only if some of the resulting texts are valid and some are not.
 #[test]
 fn some_mutations_pass() {
     use proptest::strategy::ValueTree;
@@ -181,6 +183,6 @@
         let edits = strategy.new_tree(&mut runner).expect("a value").current();
         apply(FLEET, &edits)
     });
-    let passed = texts.by_ref().filter(|text| read(text)).count();
+    let passed = texts.by_ref().filter(|text| parse_all(text)).count();
     assert!((20..280).contains(&passed), "{passed} of 300 pass");
 }
--- a/crates/conf/tests/round_trip.rs
+++ b/crates/conf/tests/round_trip.rs
@@ -1,4 +1,5 @@
-//! A configuration that is written is read back the same, whatever its names and numbers.
+//! Checks that a serialized configuration is parsed to the same value, whatever its names and
+//! numbers.
 
 use base::Ms;
 use conf::{
@@ -8,9 +9,9 @@
 use proptest::prelude::*;
 use proptest::test_runner::{Config, RngSeed};
 
-/// Texts that YAML could take for something else, and any other.
+/// Plain names, texts that YAML could read as something other than a string, and arbitrary texts.
 fn text() -> impl Strategy<Value = String> {
-    let odd = [
+    let ambiguous = [
         "",
         " ",
         "yes",
@@ -63,7 +64,7 @@
     ];
     prop_oneof![
         4 => "[a-z][a-z0-9-]{0,12}".prop_map(String::from),
-        2 => prop::sample::select(odd.to_vec()).prop_map(String::from),
+        2 => prop::sample::select(ambiguous.to_vec()).prop_map(String::from),
         1 => any::<String>(),
     ]
 }
@@ -169,17 +170,17 @@
 }
 
 fn exception() -> impl Strategy<Value = Exception> {
-    let sets = (option(ms()), option(ms()), option(priority()), option(placement()));
-    (text(), text(), option(text()), option(text()), sets, option(number())).prop_map(
-        |(name, reason, workspace, pipeline, sets, weight)| Exception {
+    let overrides = (option(ms()), option(ms()), option(priority()), option(placement()));
+    (text(), text(), option(text()), option(text()), overrides, option(number())).prop_map(
+        |(name, reason, workspace, pipeline, overrides, weight)| Exception {
             name,
             reason,
             workspace: workspace.map(Into::into),
             pipeline: pipeline.map(Into::into),
-            until_ms: sets.0,
-            deadline_ms: sets.1,
-            priority: sets.2,
-            placement: sets.3,
+            until_ms: overrides.0,
+            deadline_ms: overrides.1,
+            priority: overrides.2,
+            placement: overrides.3,
             weight,
         },
     )
@@ -216,7 +217,7 @@
     })]
 
     #[test]
-    fn what_is_written_is_read_back(fleet in fleet()) {
+    fn serialized_configuration_is_parsed_back(fleet in fleet()) {
         let yaml = fleet.to_yaml();
         match Fleet::parse(&yaml) {
             Ok(again) => prop_assert_eq!(again, fleet),
