--- a/crates/wire/src/lib.rs
+++ b/crates/wire/src/lib.rs
@@ -1,7 +1,8 @@
-//! Types that cross a border, generated from `proto/siskinwheel.proto` and committed.
+//! Types of all messages and stored objects, generated from `proto/siskinwheel.proto`.
 //!
-//! `cargo run -p wiregen` makes them anew. In JSON, fields have their proto names and missing
-//! ones their proto3 defaults; between hosts they go through tarpc's serde codec.
+//! The generated code is committed; `cargo run -p wiregen` regenerates it. In JSON, fields have
+//! their proto names, and missing fields their proto3 defaults. Between hosts, the types are encoded
+//! with tarpc's serde codec.
 
 #[allow(missing_docs, clippy::all, unused_qualifications)]
 mod generated {
