--- a/crates/local/src/lib.rs
+++ b/crates/local/src/lib.rs
@@ -1,8 +1,8 @@
-//! A fleet in one process on loopback: stand-ins and entry hosts on free ports, for trials, tests
-//! and benchmarks.
+//! A fleet in one process on loopback, for trials, tests and benchmarks: a fake platform, fake
+//! targets and entry hosts on free ports.
 
 mod cluster;
 mod error;
 
-pub use cluster::{Asking, Cluster, Options};
+pub use cluster::{Cluster, Options, RequestSpec};
 pub use error::LocalError;
