--- a/bins/siskinwheel/src/args.rs
+++ b/bins/siskinwheel/src/args.rs
@@ -9,9 +9,9 @@
 use std::path::PathBuf;
 
 /// Audit records that `history` gives when it isn't told how many.
-const LAST: usize = 20;
+const DEFAULT_LAST: usize = 20;
 /// Seconds that `apply --wait` waits when it isn't told how long.
-const WITHIN: u64 = 30;
+const DEFAULT_WAIT_SECS: u64 = 30;
 
 /// What the program is told.
 pub struct Options {
@@ -33,7 +33,7 @@
     History { last: usize },
     Leave { target: String, back: bool, note: Note },
     Explain { workspace: String, pipeline: String, file: Option<PathBuf> },
-    Story { request: String, files: Vec<PathBuf> },
+    Timeline { request: String, files: Vec<PathBuf> },
     Account { files: Vec<PathBuf> },
 }
 
@@ -57,34 +57,34 @@
             "apply" => apply(&mut args, &hosts)?,
             "show" => Command::Show,
             "status" => Command::Status,
-            "history" => {
-                Command::History { last: args.opt_value_from_str("--last")?.unwrap_or(LAST) }
-            }
+            "history" => Command::History {
+                last: args.opt_value_from_str("--last")?.unwrap_or(DEFAULT_LAST),
+            },
             "leave" => leave(&mut args)?,
             "explain" => explain(&mut args)?,
             "account" => Command::Account { files: files(&mut args)? },
             other => bail!("there is no command '{other}'"),
         };
         match args.finish().as_slice() {
-            [] => Self { command, platform, hosts, json }.complete(),
+            [] => Self { command, platform, hosts, json }.require_addresses(),
             rest => bail!("unknown arguments {rest:?}"),
         }
     }
 
     /// Insists on the addresses that the command needs.
-    fn complete(self) -> Result<Self> {
-        let none = self.platform.is_none();
+    fn require_addresses(self) -> Result<Self> {
+        let no_platform = self.platform.is_none();
         match &self.command {
             Command::Check { .. }
             | Command::CheckEdge { .. }
             | Command::CheckDeploy { .. }
             | Command::Explain { file: Some(_), .. }
-            | Command::Story { .. }
+            | Command::Timeline { .. }
             | Command::Account { .. } => {}
-            Command::Apply { .. } | Command::Leave { .. } if none => {
+            Command::Apply { .. } | Command::Leave { .. } if no_platform => {
                 bail!("give the platform's address with --platform")
             }
-            _ if none && self.hosts.is_empty() => {
+            _ if no_platform && self.hosts.is_empty() => {
                 bail!("give --platform, or in an outage of it --host")
             }
             _ => {}
@@ -101,7 +101,7 @@
         return Ok(Command::Explain { workspace, pipeline, file });
     }
     let request = args.free_from_str().context("give a request's id, or --workspace")?;
-    Ok(Command::Story { request, files: files(args)? })
+    Ok(Command::Timeline { request, files: files(args)? })
 }
 
 fn files(args: &mut Arguments) -> Result<Vec<PathBuf>> {
@@ -137,7 +137,7 @@
         (false, None) => None,
         (false, Some(_)) => bail!("--within needs --wait"),
         (true, _) if hosts.is_empty() => bail!("--wait needs a --host to ask"),
-        (true, secs) => Some(Ms::secs(secs.unwrap_or(WITHIN))),
+        (true, secs) => Some(Ms::secs(secs.unwrap_or(DEFAULT_WAIT_SECS))),
     };
     Ok(Command::Apply { file: file(args)?, note, from, wait })
 }
--- a/bins/siskinwheel/src/main.rs
+++ b/bins/siskinwheel/src/main.rs
@@ -22,11 +22,11 @@
             return ExitCode::from(Exit::Usage as u8);
         }
     };
-    let exit = run::run(&options).unwrap_or_else(|err| failed(&err, options.json));
+    let exit = run::run(&options).unwrap_or_else(|err| report_failure(&err, options.json));
     ExitCode::from(exit as u8)
 }
 
-fn failed(err: &anyhow::Error, json: bool) -> Exit {
+fn report_failure(err: &anyhow::Error, json: bool) -> Exit {
     let failure = match err.downcast_ref::<CtlError>() {
         Some(err) => Failure::from(err),
         None => Failure::plain(format!("{err:#}")),
--- a/bins/siskinwheel/src/run.rs
+++ b/bins/siskinwheel/src/run.rs
@@ -4,7 +4,7 @@
 use base::{Clock, Generation, Ms, SystemClock};
 use conf::Plan;
 use ctl::{
-    Accepted, ChangeNote, Checked, CtlError, Differences, Exit, History, Reach, Shown, Source,
+    Accepted, ChangeNote, Checked, CtlError, Differences, Exit, History, Rollout, Shown, Source,
     Status, all_members,
 };
 use edge::Settings;
@@ -19,7 +19,7 @@
 use crate::args::{Command, Note, Options};
 
 /// Silence after which a call to the platform is given up on, ms.
-const SILENCE: Ms = Ms::secs(2);
+const PLATFORM_TIMEOUT: Ms = Ms::secs(2);
 
 /// Runs the command.
 pub fn run(options: &Options) -> Result<Exit> {
@@ -47,13 +47,13 @@
         Command::Diff { file } => {
             let object = options.source()?.fleet().await?;
             let differences = Differences::of(&read(file)?, &object)?;
-            let exit = if differences.none() { Exit::Done } else { Exit::Differs };
+            let exit = if differences.is_empty() { Exit::Done } else { Exit::Differs };
             options.print(&differences, exit)
         }
         Command::Apply { file, note, from, wait } => {
             let accepted = apply(options, &read(file)?, note.at(now), *from, *wait).await?;
-            let whole = accepted.reach.as_ref().is_none_or(Reach::whole);
-            options.print(&accepted, if whole { Exit::Done } else { Exit::Waiting })
+            let whole = accepted.reach.as_ref().is_none_or(Rollout::is_complete);
+            options.print(&accepted, if whole { Exit::Done } else { Exit::NotInForce })
         }
         Command::Show => {
             let o = options.source()?.fleet().await?;
@@ -69,11 +69,11 @@
             let marked = ctl::leave(&*options.api()?, target, !back, &note.at(now)).await?;
             options.print(&marked, Exit::Done)
         }
-        Command::Story { request, files } => {
+        Command::Timeline { request, files } => {
             let logs = logs(files)?;
             let lines =
                 logs.iter().flat_map(|(name, text)| text.lines().map(move |l| (&**name, l)));
-            options.print(&ctl::story(request, lines), Exit::Done)
+            options.print(&ctl::timeline(request, lines), Exit::Done)
         }
         Command::Account { files } => {
             let logs = logs(files)?;
@@ -98,9 +98,9 @@
     let (_, object) = ctl::read_fleet(&*api).await?;
     let differences = Differences::of(yaml, &object)?;
     let mut accepted = Accepted { applied: None, differences, reach: None };
-    if !accepted.differences.none() {
+    if !accepted.differences.is_empty() {
         // What is printed as changed must be what is changed, so a later generation is a race.
-        let from = from.or(ctl::base_of(yaml)).unwrap_or(accepted.differences.generation);
+        let from = from.or(ctl::header_generation(yaml)).unwrap_or(accepted.differences.generation);
         accepted.applied = Some(ctl::apply(&*api, yaml, Some(from), &note).await?);
     }
     let generation = accepted.generation();
@@ -138,7 +138,7 @@
 impl Options {
     fn api(&self) -> Result<Arc<dyn Api>> {
         let addr = self.platform.context("give the platform's address with --platform")?;
-        let config = HttpConfig { silence_ms: SILENCE, watch_ms: SILENCE };
+        let config = HttpConfig { silence_ms: PLATFORM_TIMEOUT, watch_ms: PLATFORM_TIMEOUT };
         Ok(Arc::new(HttpApi::new(addr, config)))
     }
 
--- a/bins/siskinwheel/tests/suite/commands.rs
+++ b/bins/siskinwheel/tests/suite/commands.rs
@@ -5,7 +5,7 @@
 
 /// From an empty platform to a change that is in force, as an operator goes.
 #[test]
-fn a_change_is_checked_compared_applied_and_found_again() {
+fn a_change_is_checked_compared_applied_and_listed() {
     let env = Env::start();
     let file = env.file("fleet.yaml", &env::yaml(1));
     insta::assert_snapshot!("check", env.run(&["check", &file]));
@@ -43,7 +43,7 @@
 
 /// What `apply --wait` says when one of three hosts doesn't take the change in time.
 #[test]
-fn a_host_that_lags_is_told() {
+fn a_lagging_host_is_reported() {
     let env = Env::start();
     env.apply(1, "first");
     env.apply(2, "second");
@@ -63,9 +63,9 @@
         let note = ["--who", "ada", "--why", "new disk", env.platform()];
         env.run(&[&["leave"], args, &note].concat())
     };
-    let told = [run(&["register-1"]), run(&["register-1"]), env.run(&["status", env.platform()])];
+    let output = [run(&["register-1"]), run(&["register-1"]), env.run(&["status", env.platform()])];
     let more = [run(&["register-1", "--back"]), run(&["register-9"])];
-    insta::assert_snapshot!("leave", told.into_iter().chain(more).collect::<String>());
+    insta::assert_snapshot!("leave", output.into_iter().chain(more).collect::<String>());
 }
 
 #[test]
@@ -94,12 +94,12 @@
     let apply = ["apply", &file, "--who", "ada", "--why", "broken", env.platform()];
     assert!(env.run(&apply).starts_with("exit 3"));
     let file = env.file("edge.yaml", "host: edge-1\nredy: 127.0.0.1:1\n");
-    let said = env.run(&["check", "--edge", &file]);
-    assert!(said.starts_with("exit 3") && said.contains("redy"), "{said}");
+    let output = env.run(&["check", "--edge", &file]);
+    assert!(output.starts_with("exit 3") && output.contains("redy"), "{output}");
     let file =
         env.file("system.toml", "build = \"true\"\n[roles.edge]\nrun = \"\"\non = \"edge\"\n");
-    let said = env.run(&["check", &file]);
-    assert!(said.starts_with("exit 3") && said.contains("name the program"), "{said}");
+    let output = env.run(&["check", &file]);
+    assert!(output.starts_with("exit 3") && output.contains("name the program"), "{output}");
     let file = env.file("none.yaml", "pipelines: [\n");
     insta::assert_snapshot!("check_no_yaml", env.run(&["check", &file]));
     let file = env.file("other.yaml", "a: 1\n");
@@ -137,7 +137,7 @@
 }
 
 #[test]
-fn wrong_usage_is_told() {
+fn wrong_usage_is_reported() {
     let env = Env::start();
     let cases: &[&[&str]] = &[
         &[],
@@ -153,7 +153,7 @@
         &["show", "--platform", "localhost"],
         &["history", "--last", "some", "--platform=127.0.0.1:1"],
     ];
-    let told: String =
+    let output: String =
         cases.iter().map(|args| format!("{}\n{}\n", args.join(" "), env.run(args))).collect();
-    insta::assert_snapshot!("usage", told);
+    insta::assert_snapshot!("usage", output);
 }
--- a/bins/siskinwheel/tests/suite/env/mod.rs
+++ b/bins/siskinwheel/tests/suite/env/mod.rs
@@ -24,7 +24,7 @@
 pub struct Env {
     runtime: Runtime,
     platform: Platform,
-    cut: Arc<AtomicBool>,
+    lose_write: Arc<AtomicBool>,
     dir: PathBuf,
     args: [String; 3],
 }
@@ -34,10 +34,13 @@
     pub fn start() -> Self {
         let runtime = Runtime::new().expect("a runtime");
         let platform = runtime.block_on(Platform::start(local())).expect("a free port");
-        let cut = Arc::new(AtomicBool::new(false));
+        let lose_write = Arc::new(AtomicBool::new(false));
         let host = runtime.block_on(listen(Host { platform: platform.addr() }));
-        let proxy =
-            Proxy { platform: platform.addr(), cut: cut.clone(), gone: AtomicBool::new(false) };
+        let proxy = Proxy {
+            platform: platform.addr(),
+            lose_write: lose_write.clone(),
+            down: AtomicBool::new(false),
+        };
         let proxy = runtime.block_on(listen(proxy));
         let args = [
             format!("--platform={}", platform.addr()),
@@ -47,7 +50,7 @@
         let name = format!("commands-{}", base::ChangeId::fresh());
         let dir = PathBuf::from(env!("CARGO_TARGET_TMPDIR")).join(name);
         std::fs::create_dir_all(&dir).expect("a directory for the test's files");
-        Self { runtime, platform, cut, dir, args }
+        Self { runtime, platform, lose_write, dir, args }
     }
 
     /// The option that names the platform.
@@ -73,7 +76,7 @@
     /// The next write through the proxy takes effect without an answer, and all that
     /// comes after it fails.
     pub fn lose_write_then_down(&self) {
-        self.cut.store(true, Ordering::Relaxed);
+        self.lose_write.store(true, Ordering::Relaxed);
     }
 
     /// Writes a file and gives its path.
@@ -86,8 +89,8 @@
     /// Applies a small configuration.
     pub fn apply(&self, weight: u32, why: &str) {
         let file = self.file("applied.yaml", &yaml(weight));
-        let told = self.run(&["apply", &file, "--who", "ada", "--why", why, self.platform()]);
-        assert!(told.starts_with("exit 0"), "{told}");
+        let output = self.run(&["apply", &file, "--who", "ada", "--why", why, self.platform()]);
+        assert!(output.starts_with("exit 0"), "{output}");
     }
 
     /// Runs the program; gives its exit code and what it printed, with ids, times and paths
@@ -95,13 +98,13 @@
     pub fn run(&self, args: &[&str]) -> String {
         let program = env!("CARGO_BIN_EXE_siskinwheel");
         let output = Command::new(program).args(args).output().expect("it runs");
-        let text = |bytes: &[u8]| self.plain(&String::from_utf8_lossy(bytes));
+        let text = |bytes: &[u8]| self.normalize(&String::from_utf8_lossy(bytes));
         let code = output.status.code().expect("it exits");
         format!("exit {code}\n{}{}", text(&output.stdout), text(&output.stderr))
     }
 
-    fn plain(&self, text: &str) -> String {
-        plain(&text.replace(self.dir.to_str().unwrap_or_default(), "DIR"))
+    fn normalize(&self, text: &str) -> String {
+        normalize(&text.replace(self.dir.to_str().unwrap_or_default(), "DIR"))
     }
 }
 
@@ -114,7 +117,7 @@
 }
 
 /// The text with ids and times replaced by words.
-pub fn plain(text: &str) -> String {
+pub fn normalize(text: &str) -> String {
     let mut out = text.to_owned();
     replace(&mut out, 36, "CHANGE", is_uuid);
     replace(&mut out, 20, "TIME", is_stamp);
@@ -211,12 +214,12 @@
     }
 }
 
-/// Hands calls on to the platform; once told to, it loses the next write's answer and fails
+/// Hands calls on to the platform; once output to, it loses the next write's answer and fails
 /// from then on.
 struct Proxy {
     platform: SocketAddr,
-    cut: Arc<AtomicBool>,
-    gone: AtomicBool,
+    lose_write: Arc<AtomicBool>,
+    down: AtomicBool,
 }
 
 impl Handler for Proxy {
@@ -231,8 +234,8 @@
         let pool = Pool::new(self.platform, PoolConfig::default());
         let request = Request::from_parts(head, body);
         let response = link::call(&pool, request, Ms::secs(5), 1 << 20).await;
-        let lost = write && self.cut.load(Ordering::Relaxed);
-        if self.gone.fetch_or(lost, Ordering::Relaxed) || lost {
+        let lost = write && self.lose_write.load(Ordering::Relaxed);
+        if self.down.fetch_or(lost, Ordering::Relaxed) || lost {
             let mut response = Response::new(full(""));
             *response.status_mut() = StatusCode::BAD_GATEWAY;
             return response;
--- a/bins/siskinwheel/tests/suite/pages.rs
+++ b/bins/siskinwheel/tests/suite/pages.rs
@@ -6,7 +6,7 @@
 use std::path::Path;
 use std::process::Command;
 
-use crate::env::plain;
+use crate::env::normalize;
 
 const PAGE: &str = include_str!("../../../../docs/OPERATIONS.md");
 const FLEET: &str = include_str!("../../../../examples/cooperative.yaml");
@@ -55,7 +55,7 @@
 }
 
 #[tokio::test(flavor = "multi_thread")]
-async fn the_page_of_operations_is_true() {
+async fn the_operations_page_matches_the_output() {
     let commands = commands();
     assert!(commands.len() > 15, "{}", commands.len());
     let fleet = Fleet::parse(FLEET).expect("the example parses");
@@ -68,8 +68,8 @@
     std::fs::create_dir_all(dir.join("examples")).expect("a directory for the commands' files");
     std::fs::write(dir.join("examples/host.yaml"), HOST).expect("a file in it");
     for (command, expected) in commands {
-        let told = run(&command, &dir, &platform, &hosts);
-        assert_eq!(plain(told.trim_end()), plain(expected.trim_end()), "{command}");
+        let output = run(&command, &dir, &platform, &hosts);
+        assert_eq!(normalize(output.trim_end()), normalize(expected.trim_end()), "{command}");
     }
     std::fs::remove_dir_all(&dir).expect("the directory can go");
     cluster.close().await;
--- a/bins/siskinwheel/tests/suite/usage.rs
+++ b/bins/siskinwheel/tests/suite/usage.rs
@@ -18,7 +18,7 @@
 // An operator sees a panic with a backtrace in place of two lines: `head` has read what it wants
 // and goes while the report is still being printed.
 #[test]
-fn a_reader_that_goes_early_is_no_failure() {
+fn a_closed_output_pipe_is_not_a_failure() {
     use std::process::{Command, Stdio};
     let mut child = Command::new(env!("CARGO_BIN_EXE_siskinwheel"))
         .args(["account", "/dev/null"])
--- a/crates/ctl/src/account.rs
+++ b/crates/ctl/src/account.rs
@@ -5,7 +5,7 @@
 use std::collections::{BTreeMap, HashMap, HashSet};
 use std::fmt;
 
-use crate::story::json_line;
+use crate::timeline::json_line;
 
 /// Why a request was late.
 #[derive(Clone, Copy, Debug, PartialEq, Eq, PartialOrd, Ord, Hash, Serialize)]
@@ -76,14 +76,14 @@
     late_ms: u64,
     stages_ms: u64,
     target_ms: u64,
-    staged: bool,
+    has_stages: bool,
     runs: u64,
     stands_for: u64,
     span: String,
 }
 
 /// Length of a time as far as tens of seconds: `2026-12-03T04:36:2`.
-const SPAN: usize = 18;
+const SPAN_CHARS: usize = 18;
 
 /// Adds up the lines of all hosts. Lines of other programs are passed over.
 pub fn account<'a>(lines: impl Iterator<Item = &'a str>) -> Account {
@@ -94,7 +94,7 @@
         let Some(line) = json_line(line) else { continue };
         let Some(fields) = line.get("fields").and_then(Value::as_object) else { continue };
         match text(fields, "name") {
-            Some("RequestServed") => served.extend(read(&line, fields)),
+            Some("RequestServed") => served.extend(parse_served(&line, fields)),
             Some("StageRedone") => redone.extend(text(fields, "request").map(str::to_owned)),
             Some("RequestRefused") => count(&mut account.refused, text(fields, "reason")),
             Some("StageFailed") => count(&mut account.failed, text(fields, "fault")),
@@ -107,7 +107,7 @@
         by_route.entry(&request.route).or_default().push(request);
     }
     for (route, requests) in by_route {
-        account.routes.insert(route.to_owned(), of_route(&requests, &redone));
+        account.routes.insert(route.to_owned(), route_account(&requests, &redone));
     }
     account
 }
@@ -126,7 +126,7 @@
     }
 }
 
-fn read(line: &Value, fields: &Map<String, Value>) -> Option<Served> {
+fn parse_served(line: &Value, fields: &Map<String, Value>) -> Option<Served> {
     let stages = number(fields, "stages_ms");
     let end = number(fields, "first_ms").or(number(fields, "took_ms"))?;
     let time = line.get("timestamp")?.as_str()?;
@@ -136,17 +136,18 @@
         late_ms: number(fields, "late_ms").unwrap_or(0),
         stages_ms: stages.unwrap_or(0),
         target_ms: end.saturating_sub(stages.unwrap_or(0)),
-        staged: stages.is_some(),
+        has_stages: stages.is_some(),
         runs: number(fields, "runs").unwrap_or(1),
         stands_for: number(fields, "stands_for").unwrap_or(1),
-        span: time.get(..SPAN).unwrap_or(time).to_owned(),
+        span: time.get(..SPAN_CHARS).unwrap_or(time).to_owned(),
     })
 }
 
-fn of_route(requests: &[&Served], redone: &HashSet<String>) -> RouteAccount {
-    let (late, timely): (Vec<&Served>, Vec<&Served>) = requests.iter().partition(|r| r.late_ms > 0);
-    let stages_ms = (median(&timely, |r| r.stages_ms), median(&late, |r| r.stages_ms));
-    let target_ms = (median(&timely, |r| r.target_ms), median(&late, |r| r.target_ms));
+fn route_account(requests: &[&Served], redone: &HashSet<String>) -> RouteAccount {
+    let (late, on_time): (Vec<&Served>, Vec<&Served>) =
+        requests.iter().partition(|r| r.late_ms > 0);
+    let stages_ms = (median(&on_time, |r| r.stages_ms), median(&late, |r| r.stages_ms));
+    let target_ms = (median(&on_time, |r| r.target_ms), median(&late, |r| r.target_ms));
     let mut causes = BTreeMap::new();
     let mut spans = BTreeMap::new();
     for request in &late {
@@ -154,7 +155,7 @@
         let cause = match () {
             () if redone.contains(&request.request) => Cause::Redone,
             () if request.runs > 1 => Cause::SentAgain,
-            () if !request.staged => Cause::Target,
+            () if !request.has_stages => Cause::Target,
             () if stages.saturating_sub(stages_ms.0) > target.saturating_sub(target_ms.0) => {
                 Cause::Stages
             }
@@ -186,7 +187,7 @@
             for cause in Cause::ALL {
                 write!(f, " {:>10}", row.causes.get(&cause).copied().unwrap_or(0))?;
             }
-            let pair = |(timely, late): (u64, u64)| format!("{timely} / {late}");
+            let pair = |(on_time, late): (u64, u64)| format!("{on_time} / {late}");
             write!(f, "  {:>15}  {:>15}", pair(row.stages_ms), pair(row.target_ms))?;
         }
         for (title, counts) in [("refused", &self.refused), ("stages failed", &self.failed)] {
--- a/crates/ctl/src/apply.rs
+++ b/crates/ctl/src/apply.rs
@@ -7,21 +7,21 @@
 use tokio::time::Instant;
 use wire::{Audit, FleetObject, Object};
 
-use crate::audit::roll;
+use crate::audit::move_to_pages;
 use crate::{CtlError, diff};
 
 /// Kind and name of the configuration's object.
 const OBJECT: (&str, &str) = ("fleet", "fleet");
 /// Most characters of an operator's name.
-const WHO_LEN: usize = 100;
+const MAX_WHO_CHARS: usize = 100;
 /// Most characters of a reason.
-const WHY_LEN: usize = 500;
+const MAX_WHY_CHARS: usize = 500;
 /// Most fields that an audit record names; a change of more is told by their count.
-const FIELDS: usize = 20;
+const MAX_RECORD_FIELDS: usize = 20;
 /// Most characters of one field in an audit record.
-const FIELD_LEN: usize = 160;
+const MAX_FIELD_CHARS: usize = 160;
 /// First line of a configuration that `show` gives: the generation that it was read from.
-const HEADER: &str = "# generation: ";
+const GENERATION_HEADER: &str = "# generation: ";
 
 /// Who changes, why and when.
 #[derive(Clone, Debug)]
@@ -37,10 +37,14 @@
 impl ChangeNote<'_> {
     /// Insists on a name and a reason, each of a length that keeps the audit trail small.
     pub(crate) fn check(&self) -> Result<(), CtlError> {
-        let good = |text: &str, most| !text.trim().is_empty() && text.chars().count() <= most;
+        let valid = |text: &str, most| !text.trim().is_empty() && text.chars().count() <= most;
         match () {
-            () if !good(self.who, WHO_LEN) => Err(CtlError::Note { field: "who", most: WHO_LEN }),
-            () if !good(self.why, WHY_LEN) => Err(CtlError::Note { field: "why", most: WHY_LEN }),
+            () if !valid(self.who, MAX_WHO_CHARS) => {
+                Err(CtlError::InvalidNote { field: "who", most: MAX_WHO_CHARS })
+            }
+            () if !valid(self.why, MAX_WHY_CHARS) => {
+                Err(CtlError::InvalidNote { field: "why", most: MAX_WHY_CHARS })
+            }
             () => Ok(()),
         }
     }
@@ -57,20 +61,20 @@
 
 /// One write: its id, and how long it is asked after while its outcome is open.
 #[derive(Clone, Copy, Debug)]
-pub struct Settle {
+pub struct WriteOptions {
     /// The change's id, by which the writer knows its own write again. Never used twice.
     pub change: ChangeId,
     /// No new try of the write and the reading back begins after this, ms.
-    pub within: Ms,
+    pub retry_for: Ms,
     /// Time between two tries, ms.
-    pub pause: Ms,
+    pub retry_pause: Ms,
 }
 
-impl Settle {
+impl WriteOptions {
     /// A fresh id and five seconds: an outage of a moment is waited out, and an operator isn't
     /// left hanging.
     pub fn fresh() -> Self {
-        Self { change: ChangeId::fresh(), within: Ms::secs(5), pause: Ms(250) }
+        Self { change: ChangeId::fresh(), retry_for: Ms::secs(5), retry_pause: Ms(250) }
     }
 }
 
@@ -83,18 +87,18 @@
 }
 
 /// The generation that a configuration's first line says it was read from.
-pub fn base_of(yaml: &str) -> Option<Generation> {
-    let line = yaml.lines().next()?.strip_prefix(HEADER)?;
+pub fn header_generation(yaml: &str) -> Option<Generation> {
+    let line = yaml.lines().next()?.strip_prefix(GENERATION_HEADER)?;
     line.trim().parse().ok().map(Generation)
 }
 
 /// A configuration with a first line that says which generation it is.
-pub fn with_base(yaml: &str, generation: Generation) -> String {
-    let rest = match base_of(yaml) {
+pub fn with_generation_header(yaml: &str, generation: Generation) -> String {
+    let rest = match header_generation(yaml) {
         Some(_) => yaml.split_once('\n').map_or("", |(_, rest)| rest),
         None => yaml,
     };
-    format!("{HEADER}{generation}\n{rest}")
+    format!("{GENERATION_HEADER}{generation}\n{rest}")
 }
 
 /// Checks `yaml` and puts it in the place of generation `from`, with its audit record in the
@@ -105,7 +109,7 @@
     from: Option<Generation>,
     note: &ChangeNote<'_>,
 ) -> Result<Applied, CtlError> {
-    apply_within(api, yaml, from, note, Settle::fresh()).await
+    apply_within(api, yaml, from, note, WriteOptions::fresh()).await
 }
 
 /// As [`apply`], with an id of the caller's and a bound on how long a lost answer is asked after.
@@ -114,20 +118,20 @@
     yaml: &str,
     from: Option<Generation>,
     note: &ChangeNote<'_>,
-    settle: Settle,
+    options: WriteOptions,
 ) -> Result<Applied, CtlError> {
     note.check()?;
     let (version, mut object) = read_fleet(api).await?;
     let now = Generation(object.generation);
     match from {
-        Some(expected) if expected < now => return Err(raced(expected, &object)),
+        Some(expected) if expected < now => return Err(conflict(expected, &object)),
         Some(expected) if expected > now => return Err(CtlError::Stale { expected, now }),
         _ => {}
     }
     let generation = now.next();
     let plan = Plan::parse(generation, yaml)?;
-    let change = settle.change;
-    roll(api, &mut object).await?;
+    let change = options.change;
+    move_to_pages(api, &mut object).await?;
     object.audit.push(Audit {
         from: now.0,
         to: generation.0,
@@ -135,7 +139,7 @@
         who: note.who.to_owned(),
         why: note.why.to_owned(),
         at_ms: note.at.0,
-        fields: fields(&object.config, &plan.fleet),
+        fields: changed_fields(&object.config, &plan.fleet),
     });
     object.generation = generation.0;
     object.change = change.to_string();
@@ -143,15 +147,15 @@
     let body = serde_json::to_string(&object)?;
     let write =
         Change { kind: OBJECT.0, name: OBJECT.1, expected: version, id: change, body: &body };
-    match resolve(api, write, settle).await? {
+    match write_with_retry(api, write, options).await? {
         Written::Done(_) => Ok(Applied { generation, change }),
-        Written::Open => Err(CtlError::Open { change }),
+        Written::Open => Err(CtlError::OutcomeUnknown { change }),
         Written::Lost { now: Some(object) } => {
-            Err(raced(now, &serde_json::from_str(&object.body)?))
+            Err(conflict(now, &serde_json::from_str(&object.body)?))
         }
         Written::Lost { now: None } => {
             let (_, object) = read_fleet(api).await?;
-            Err(raced(now, &object))
+            Err(conflict(now, &object))
         }
     }
 }
@@ -162,16 +166,16 @@
 /// the trail, or comes back over a colleague's that was accepted in between. The change's id in
 /// the object tells the writer's own change from another's, also below newer ones; and each try
 /// is the same conditional write, which can take effect once only.
-pub(crate) async fn resolve(
+pub(crate) async fn write_with_retry(
     api: &dyn Api,
     write: Change<'_>,
-    settle: Settle,
+    options: WriteOptions,
 ) -> Result<Written, StoreError> {
-    let end = Instant::now() + settle.within.duration();
-    let mut result = store::write(api, write, is_ours).await?;
+    let end = Instant::now() + options.retry_for.duration();
+    let mut result = store::write(api, write, is_own_write).await?;
     while result == Written::Open && Instant::now() < end {
-        tokio::time::sleep(settle.pause.duration()).await;
-        result = match store::write(api, write, is_ours).await {
+        tokio::time::sleep(options.retry_pause.duration()).await;
+        result = match store::write(api, write, is_own_write).await {
             // Nothing of this round was written. But a conflict may be with the first round's own
             // write, and a platform that is out now may have taken that one.
             Ok(Written::Lost { now: None }) | Err(_) => Written::Open,
@@ -181,29 +185,29 @@
     Ok(result)
 }
 
-fn is_ours(object: &Object, id: ChangeId) -> bool {
+fn is_own_write(object: &Object, id: ChangeId) -> bool {
     object.body.contains(&id.to_string())
 }
 
-fn raced(expected: Generation, object: &FleetObject) -> CtlError {
+fn conflict(expected: Generation, object: &FleetObject) -> CtlError {
     let since = object.audit.iter().filter(|a| a.to > expected.0).cloned().collect();
-    CtlError::Raced { expected, now: Generation(object.generation), since }
+    CtlError::Conflict { expected, now: Generation(object.generation), since }
 }
 
 /// What an audit record says about the fields: each with its old and new value, cut where long.
-fn fields(before: &str, after: &Fleet) -> Vec<String> {
+fn changed_fields(before: &str, after: &Fleet) -> Vec<String> {
     let Ok(before) = Fleet::parse(before) else { return vec!["first configuration".to_owned()] };
     let changes = diff(&before, after);
     let mut out: Vec<String> =
-        changes.iter().take(FIELDS).map(|c| shorten(&c.to_string())).collect();
-    if changes.len() > FIELDS {
-        out.push(format!("and {} more", changes.len() - FIELDS));
+        changes.iter().take(MAX_RECORD_FIELDS).map(|c| shorten(&c.to_string())).collect();
+    if changes.len() > MAX_RECORD_FIELDS {
+        out.push(format!("and {} more", changes.len() - MAX_RECORD_FIELDS));
     }
     out
 }
 
 fn shorten(text: &str) -> String {
-    match text.char_indices().nth(FIELD_LEN) {
+    match text.char_indices().nth(MAX_FIELD_CHARS) {
         Some((at, _)) => format!("{}...", &text[..at]),
         None => text.to_owned(),
     }
--- a/crates/ctl/src/audit.rs
+++ b/crates/ctl/src/audit.rs
@@ -11,18 +11,18 @@
 use store::{Api, StoreError};
 use wire::{Audit, AuditPage, FleetObject};
 
-use crate::{CtlError, stamp};
+use crate::{CtlError, format_utc};
 
 /// Kind of the pages' objects.
 pub const AUDIT_KIND: &str = "audit";
 /// Records on a page.
-pub const PAGE: usize = 32;
+pub const PAGE_RECORDS: usize = 32;
 /// Names of pages that the configuration's object lists.
-const ROLLED: usize = 8;
+const MAX_LISTED_PAGES: usize = 8;
 /// Tries to write one page whose answers are lost.
-const TRIES: u32 = 3;
+const PUT_ATTEMPTS: u32 = 3;
 
-/// Name of a page; page 0 has the records of generations 1 to [`PAGE`].
+/// Name of a page; page 0 has the records of generations 1 to [`PAGE_RECORDS`].
 pub fn page_name(page: u64) -> String {
     format!("page-{page:08}")
 }
@@ -32,23 +32,23 @@
 /// The page is written before the change that drops its records. A crash in between leaves them
 /// in both places, and the next operator finds the page there; the other way round they would be
 /// in neither.
-pub(crate) async fn roll(api: &dyn Api, object: &mut FleetObject) -> Result<(), CtlError> {
-    while object.audit.len() >= 2 * PAGE {
-        let name = page_name((object.audit[0].to - 1) / PAGE as u64);
-        let page = AuditPage { audit: object.audit[..PAGE].to_vec() };
-        keep(api, &name, &page).await?;
-        object.audit.drain(..PAGE);
+pub(crate) async fn move_to_pages(api: &dyn Api, object: &mut FleetObject) -> Result<(), CtlError> {
+    while object.audit.len() >= 2 * PAGE_RECORDS {
+        let name = page_name((object.audit[0].to - 1) / PAGE_RECORDS as u64);
+        let page = AuditPage { audit: object.audit[..PAGE_RECORDS].to_vec() };
+        put_page(api, &name, &page).await?;
+        object.audit.drain(..PAGE_RECORDS);
         object.rolled.push(name);
-        let extra = object.rolled.len().saturating_sub(ROLLED);
+        let extra = object.rolled.len().saturating_sub(MAX_LISTED_PAGES);
         object.rolled.drain(..extra);
     }
     Ok(())
 }
 
-async fn keep(api: &dyn Api, name: &str, page: &AuditPage) -> Result<(), CtlError> {
+async fn put_page(api: &dyn Api, name: &str, page: &AuditPage) -> Result<(), CtlError> {
     let body = serde_json::to_string(page)?;
     let mut result = api.put(AUDIT_KIND, name, Version(0), &body).await;
-    for _ in 1..TRIES {
+    for _ in 1..PUT_ATTEMPTS {
         // The same write again can't take effect twice: it insists on a new object.
         if result == Err(StoreError::Doubt) {
             result = api.put(AUDIT_KIND, name, Version(0), &body).await;
@@ -58,7 +58,7 @@
     let StoreError::Conflict { .. } = err else { return Err(err.into()) };
     match read_page(api, name).await? {
         Some(found) if found == *page => Ok(()),
-        Some(_) => Err(CtlError::Page(name.to_owned())),
+        Some(_) => Err(CtlError::ForeignPage(name.to_owned())),
         // An old read: the page is there, but can't be compared now.
         None => Err(err.into()),
     }
@@ -78,11 +78,11 @@
     most: usize,
 ) -> Result<Vec<Audit>, CtlError> {
     let mut out: Vec<Audit> = object.audit.iter().rev().take(most).cloned().collect();
-    let mut pages = object.audit.first().map_or(0, |a| (a.to - 1) / PAGE as u64);
+    let mut pages = object.audit.first().map_or(0, |a| (a.to - 1) / PAGE_RECORDS as u64);
     while out.len() < most && pages > 0 {
         pages -= 1;
         let name = page_name(pages);
-        let page = read_page(api, &name).await?.ok_or(CtlError::Page(name))?;
+        let page = read_page(api, &name).await?.ok_or(CtlError::ForeignPage(name))?;
         let rest = most - out.len();
         out.extend(page.audit.into_iter().rev().take(rest));
     }
@@ -90,10 +90,10 @@
 }
 
 /// Records as lines for people.
-pub(crate) fn lines(records: &[Audit]) -> String {
+pub(crate) fn format_records(records: &[Audit]) -> String {
     let mut out = String::new();
     for a in records {
-        let at = stamp(base::Ms(a.at_ms));
+        let at = format_utc(base::Ms(a.at_ms));
         // Writing to a string can't fail.
         let _ = writeln!(out, "{} -> {}  {at}  {}: {}", a.from, a.to, a.who, a.why);
         for field in &a.fields {
--- a/crates/ctl/src/check.rs
+++ b/crates/ctl/src/check.rs
@@ -61,7 +61,7 @@
         // The parser says where the text stops being YAML.
         None => match conf::Fleet::parse(yaml) {
             Err(err) if !is_yaml(yaml) => Err(err.into()),
-            _ => Err(CtlError::Kind),
+            _ => Err(CtlError::FileKind),
         },
     }
 }
--- a/crates/ctl/src/diff.rs
+++ b/crates/ctl/src/diff.rs
@@ -52,39 +52,44 @@
     out
 }
 
-fn compare(at: &str, from: Option<&Value>, to: Option<&Value>, out: &mut Vec<FieldChange>) {
+fn compare(path: &str, from: Option<&Value>, to: Option<&Value>, out: &mut Vec<FieldChange>) {
     match (from, to) {
         (Some(a), Some(b)) if a == b => {}
-        (Some(Value::Object(a)), Some(Value::Object(b))) => objects(at, a, b, out),
-        (Some(Value::Array(a)), Some(Value::Array(b))) if named(a) && named(b) => {
-            lists(at, a, b, out);
+        (Some(Value::Object(a)), Some(Value::Object(b))) => compare_objects(path, a, b, out),
+        (Some(Value::Array(a)), Some(Value::Array(b))) if all_named(a) && all_named(b) => {
+            compare_lists(path, a, b, out);
         }
         (from, to) => {
             let (from, to) = (from.cloned(), to.cloned());
-            out.push(FieldChange { field: at.to_owned(), from, to });
+            out.push(FieldChange { field: path.to_owned(), from, to });
         }
     }
 }
 
-fn objects(at: &str, a: &Map<String, Value>, b: &Map<String, Value>, out: &mut Vec<FieldChange>) {
+fn compare_objects(
+    path: &str,
+    a: &Map<String, Value>,
+    b: &Map<String, Value>,
+    out: &mut Vec<FieldChange>,
+) {
     let keys: BTreeSet<&String> = a.keys().chain(b.keys()).collect();
     for key in keys {
-        compare(&join(at, key), a.get(key), b.get(key), out);
+        compare(&join(path, key), a.get(key), b.get(key), out);
     }
 }
 
 /// Lists whose entries have names are compared by name, so that a new entry at the front isn't
 /// told as a change of all.
-fn lists(at: &str, a: &[Value], b: &[Value], out: &mut Vec<FieldChange>) {
+fn compare_lists(path: &str, a: &[Value], b: &[Value], out: &mut Vec<FieldChange>) {
     let (before, after) = (by_name(a), by_name(b));
     for item in a {
         let key = name(item).unwrap_or_default();
-        compare(&join(at, key), Some(item), after.get(key).copied(), out);
+        compare(&join(path, key), Some(item), after.get(key).copied(), out);
     }
     for item in b {
         let key = name(item).unwrap_or_default();
         if !before.contains_key(key) {
-            compare(&join(at, key), None, Some(item), out);
+            compare(&join(path, key), None, Some(item), out);
         }
     }
     let order = |list: &[Value], other: &HashMap<&str, &Value>| -> Vec<Value> {
@@ -94,7 +99,7 @@
     // The order decides: of stages, and among exceptions that fit equally.
     let (from, to) = (order(a, &after), order(b, &before));
     if from != to {
-        let field = format!("{at} (order)");
+        let field = format!("{path} (order)");
         out.push(FieldChange { field, from: Some(from.into()), to: Some(to.into()) });
     }
 }
@@ -103,7 +108,7 @@
     list.iter().filter_map(|v| Some((name(v)?, v))).collect()
 }
 
-fn named(list: &[Value]) -> bool {
+fn all_named(list: &[Value]) -> bool {
     list.iter().all(|v| name(v).is_some())
 }
 
@@ -111,6 +116,6 @@
     value.get("name")?.as_str()
 }
 
-fn join(at: &str, key: &str) -> String {
-    if at.is_empty() { key.to_owned() } else { format!("{at}.{key}") }
+fn join(path: &str, key: &str) -> String {
+    if path.is_empty() { key.to_owned() } else { format!("{path}.{key}") }
 }
--- a/crates/ctl/src/error.rs
+++ b/crates/ctl/src/error.rs
@@ -9,7 +9,7 @@
 use wire::Audit;
 
 use crate::Exit;
-use crate::audit::lines;
+use crate::audit::format_records;
 
 /// A failed command.
 #[derive(Debug, Error)]
@@ -25,10 +25,10 @@
         "neither settings (a field `host`) nor a configuration (a field `pipelines`); say which \
          with --settings or --fleet"
     )]
-    Kind,
+    FileKind,
     /// Nobody, or no reason, is given for a change.
     #[error("--{field} must be 1 to {most} characters; say {field} in a few words")]
-    Note {
+    InvalidNote {
         /// `who` or `why`.
         field: &'static str,
         /// Most characters.
@@ -42,9 +42,9 @@
         "generation {now} is in force, not {expected}; nothing was changed. Since then:\n{}\n\
          look with `diff`, take the others' changes into the file and apply again with --from \
          {now}",
-        lines(.since)
+        format_records(.since)
     )]
-    Raced {
+    Conflict {
         /// What the change was based on.
         expected: Generation,
         /// What is in force.
@@ -65,13 +65,13 @@
     },
     /// The write's outcome can't be told.
     #[error("the platform's answer was lost; look with `history` whether change {change} is there")]
-    Open {
+    OutcomeUnknown {
         /// The change.
         change: ChangeId,
     },
     /// A target's mark was changed by another operator in between.
     #[error("another operator marked target '{0}' at the same time; look with `status`")]
-    MarkRaced(String),
+    MarkConflict(String),
     /// The object in the platform makes no sense.
     #[error("the configuration in the platform can't be read: {0}")]
     Malformed(#[from] serde_json::Error),
@@ -80,13 +80,13 @@
         "audit page {0} holds other records than the trail; nothing was changed: keep a copy of \
          the page, then find out who writes to it beside this program"
     )]
-    Page(String),
+    ForeignPage(String),
     /// Nothing was applied yet.
     #[error("no configuration is in force yet; give the first one with `apply`")]
-    Nothing,
+    NoConfiguration,
     /// A name that isn't declared.
     #[error("{kind} '{name}' is not declared; look with `show`")]
-    Unknown {
+    NotDeclared {
         /// What kind of thing was looked for.
         kind: &'static str,
         /// The name as given.
@@ -94,7 +94,7 @@
     },
     /// A host can't be reached.
     #[error("host {addr} can't be reached: {source}; try another with --host")]
-    Host {
+    HostUnreachable {
         /// Its admin address.
         addr: SocketAddr,
         /// Why not.
@@ -102,7 +102,7 @@
     },
     /// A host's answer makes no sense.
     #[error("host {addr} answered {path} with status {status}; give its admin address")]
-    Answer {
+    BadResponse {
         /// Its admin address.
         addr: SocketAddr,
         /// What it was asked.
@@ -116,18 +116,18 @@
     /// The exit code that tells this failure.
     pub fn exit(&self) -> Exit {
         match self {
-            Self::Parse(_) | Self::Unusable(_) | Self::Kind => Exit::Refused,
-            Self::Note { .. } => Exit::Usage,
-            Self::Raced { .. } | Self::MarkRaced(_) => Exit::Raced,
-            Self::Open { .. } => Exit::Open,
-            Self::Unknown { .. } => Exit::Unknown,
+            Self::Parse(_) | Self::Unusable(_) | Self::FileKind => Exit::InvalidFile,
+            Self::InvalidNote { .. } => Exit::Usage,
+            Self::Conflict { .. } | Self::MarkConflict(_) => Exit::Conflict,
+            Self::OutcomeUnknown { .. } => Exit::OutcomeUnknown,
+            Self::NotDeclared { .. } => Exit::NotDeclared,
             Self::Store(_)
             | Self::Stale { .. }
             | Self::Malformed(_)
-            | Self::Page(_)
-            | Self::Nothing
-            | Self::Host { .. }
-            | Self::Answer { .. } => Exit::Failed,
+            | Self::ForeignPage(_)
+            | Self::NoConfiguration
+            | Self::HostUnreachable { .. }
+            | Self::BadResponse { .. } => Exit::Failed,
         }
     }
 }
--- a/crates/ctl/src/exit.rs
+++ b/crates/ctl/src/exit.rs
@@ -15,17 +15,17 @@
     /// Wrong usage.
     Usage = 2,
     /// The file can't be used.
-    Refused = 3,
+    InvalidFile = 3,
     /// `diff` found differences.
     Differs = 4,
     /// Another operator was first; nothing was changed.
-    Raced = 5,
+    Conflict = 5,
     /// The write's answer was lost and it can't be told yet whether it took effect.
-    Open = 6,
+    OutcomeUnknown = 6,
     /// Accepted, but not in force on all hosts within the wait.
-    Waiting = 7,
+    NotInForce = 7,
     /// The workspace, pipeline or target isn't declared.
-    Unknown = 8,
+    NotDeclared = 8,
 }
 
 impl From<Exit> for u8 {
--- a/crates/ctl/src/explain.rs
+++ b/crates/ctl/src/explain.rs
@@ -6,9 +6,9 @@
 use serde_json::{Value, json};
 use std::fmt;
 
-use crate::{CtlError, stamp};
+use crate::{CtlError, format_utc};
 
-/// What holds for one workspace and pipeline.
+/// What effective for one workspace and pipeline.
 #[derive(Clone, Debug, PartialEq, Serialize)]
 pub struct Explained {
     /// Where it holds; zero for a file.
@@ -45,16 +45,22 @@
     pipeline: &str,
     now: Ms,
 ) -> Result<Explained, CtlError> {
-    let unknown = |kind, name: &str| CtlError::Unknown { kind, name: name.to_owned() };
-    let space = plan.workspace(workspace).ok_or_else(|| unknown("workspace", workspace))?;
-    let pipe = plan.pipeline(pipeline).ok_or_else(|| unknown("pipeline", pipeline))?;
-    let holds = plan.effective(space, pipe, now);
+    let unknown = |kind, name: &str| CtlError::NotDeclared { kind, name: name.to_owned() };
+    let workspace_decl =
+        plan.workspace(workspace).ok_or_else(|| unknown("workspace", workspace))?;
+    let pipeline_decl = plan.pipeline(pipeline).ok_or_else(|| unknown("pipeline", pipeline))?;
+    let effective = plan.effective(workspace_decl, pipeline_decl, now);
     let exceptions = &plan.fleet.exceptions;
     let fields = vec![
-        decided("deadline_ms", json!(holds.deadline_ms.0), &holds.deadline_ms.1, exceptions),
-        decided("priority", json!(holds.priority.0), &holds.priority.1, exceptions),
-        decided("placement", json!(holds.placement.0), &holds.placement.1, exceptions),
-        decided("weight", json!(holds.weight.0), &holds.weight.1, exceptions),
+        decided(
+            "deadline_ms",
+            json!(effective.deadline_ms.0),
+            &effective.deadline_ms.1,
+            exceptions,
+        ),
+        decided("priority", json!(effective.priority.0), &effective.priority.1, exceptions),
+        decided("placement", json!(effective.placement.0), &effective.placement.1, exceptions),
+        decided("weight", json!(effective.weight.0), &effective.weight.1, exceptions),
     ];
     Ok(Explained {
         generation: plan.generation,
@@ -96,7 +102,7 @@
                 _ => write!(f, ", by {}", d.by)?,
             }
             if let Some(until) = d.until_ms {
-                write!(f, " (until {})", stamp(Ms(until)))?;
+                write!(f, " (until {})", format_utc(Ms(until)))?;
             }
         }
         Ok(())
--- a/crates/ctl/src/host.rs
+++ b/crates/ctl/src/host.rs
@@ -10,10 +10,10 @@
 use crate::CtlError;
 
 /// Silence after which a host is given up on, ms.
-const SILENCE: Ms = Ms::secs(2);
+const HOST_TIMEOUT: Ms = Ms::secs(2);
 /// Largest answer that is read, bytes: a configuration object is at most a megabyte, and JSON
 /// escapes may double it.
-const ANSWER_BYTES: usize = 4 << 20;
+const MAX_RESPONSE_BYTES: usize = 4 << 20;
 
 /// Hosts as one of them knows them.
 pub async fn members(addr: SocketAddr) -> Result<Vec<Member>, CtlError> {
@@ -31,16 +31,16 @@
     let host = hyper::header::HeaderValue::from_static("admin");
     request.headers_mut().insert(hyper::header::HOST, host);
     let pool = Pool::new(addr, PoolConfig::default());
-    let response = link::call(&pool, request, SILENCE, ANSWER_BYTES)
+    let response = link::call(&pool, request, HOST_TIMEOUT, MAX_RESPONSE_BYTES)
         .await
-        .map_err(|source| CtlError::Host { addr, source })?;
+        .map_err(|source| CtlError::HostUnreachable { addr, source })?;
     let status = response.status().as_u16();
     match status {
-        200 => serde_json::from_slice(response.body()).map_err(|_| CtlError::Answer {
+        200 => serde_json::from_slice(response.body()).map_err(|_| CtlError::BadResponse {
             addr,
             path,
             status: 0,
         }),
-        _ => Err(CtlError::Answer { addr, path, status }),
+        _ => Err(CtlError::BadResponse { addr, path, status }),
     }
 }
--- a/crates/ctl/src/leave.rs
+++ b/crates/ctl/src/leave.rs
@@ -6,9 +6,9 @@
 use store::{Api, Change, Written};
 use wire::{FleetObject, LeavingMark};
 
-use crate::apply::resolve;
-use crate::source::NEW;
-use crate::{ChangeNote, CtlError, Settle, read_fleet};
+use crate::apply::write_with_retry;
+use crate::source::NOT_YET_CREATED;
+use crate::{ChangeNote, CtlError, WriteOptions, read_fleet};
 
 /// Kind of the marks' objects; each is named after its target.
 pub const LEAVING_KIND: &str = "leaving";
@@ -46,14 +46,14 @@
 ) -> Result<Marked, CtlError> {
     note.check()?;
     let (_, object) = read_fleet(api).await?;
-    declared(&object, target)?;
-    let (version, before) = read(api, target).await?;
+    check_declared(&object, target)?;
+    let (version, before) = read_mark(api, target).await?;
     if before.leaving == leaving {
         let (target, since_ms) = (target.to_owned(), before.since_ms);
         return Ok(Marked { target, leaving, changed: false, since_ms });
     }
-    let settle = Settle::fresh();
-    let id = settle.change;
+    let options = WriteOptions::fresh();
+    let id = options.change;
     let mark = LeavingMark {
         target: target.to_owned(),
         // Hosts take the higher one, so a mark must be above the last though this clock is behind.
@@ -65,30 +65,30 @@
     };
     let body = serde_json::to_string(&mark)?;
     let change = Change { kind: LEAVING_KIND, name: target, expected: version, id, body: &body };
-    match resolve(api, change, settle).await? {
+    match write_with_retry(api, change, options).await? {
         Written::Done(_) => {
             Ok(Marked { target: mark.target, leaving, changed: true, since_ms: mark.since_ms })
         }
-        Written::Lost { .. } => Err(CtlError::MarkRaced(mark.target)),
-        Written::Open => Err(CtlError::Open { change: id }),
+        Written::Lost { .. } => Err(CtlError::MarkConflict(mark.target)),
+        Written::Open => Err(CtlError::OutcomeUnknown { change: id }),
     }
 }
 
-fn declared(object: &FleetObject, target: &str) -> Result<(), CtlError> {
+fn check_declared(object: &FleetObject, target: &str) -> Result<(), CtlError> {
     if object.generation == 0 {
-        return Err(CtlError::Nothing);
+        return Err(CtlError::NoConfiguration);
     }
     let fleet = conf::Fleet::parse(&object.config)?;
     match fleet.pools.iter().flat_map(|p| &p.targets).any(|t| t.name.as_str() == target) {
         true => Ok(()),
-        false => Err(CtlError::Unknown { kind: "target", name: target.to_owned() }),
+        false => Err(CtlError::NotDeclared { kind: "target", name: target.to_owned() }),
     }
 }
 
-async fn read(api: &dyn Api, target: &str) -> Result<(Version, LeavingMark), CtlError> {
+async fn read_mark(api: &dyn Api, target: &str) -> Result<(Version, LeavingMark), CtlError> {
     match api.get(LEAVING_KIND, target).await? {
         Some(object) => Ok((Version(object.version), serde_json::from_str(&object.body)?)),
-        None => Ok((NEW, LeavingMark::default())),
+        None => Ok((NOT_YET_CREATED, LeavingMark::default())),
     }
 }
 
--- a/crates/ctl/src/lib.rs
+++ b/crates/ctl/src/lib.rs
@@ -12,13 +12,16 @@
 mod leave;
 mod report;
 mod source;
-mod stamp;
 mod status;
-mod story;
+mod timeline;
+mod timestamp;
 
 pub use account::{Account, Cause, RouteAccount, account};
-pub use apply::{Applied, ChangeNote, Settle, apply, apply_within, base_of, read_fleet, with_base};
-pub use audit::{AUDIT_KIND, PAGE, history, page_name};
+pub use apply::{
+    Applied, ChangeNote, WriteOptions, apply, apply_within, header_generation, read_fleet,
+    with_generation_header,
+};
+pub use audit::{AUDIT_KIND, PAGE_RECORDS, history, page_name};
 pub use check::{Checked, Finding, check, findings};
 pub use diff::{FieldChange, diff};
 pub use error::CtlError;
@@ -28,6 +31,6 @@
 pub use leave::{LEAVING_KIND, Marked, leave, marked};
 pub use report::{Accepted, Differences, Failure, History, Shown};
 pub use source::{Source, domains};
-pub use stamp::stamp;
-pub use status::{DomainReach, Reach, Status, all_members, wait_in_force};
-pub use story::{Step, Story, story};
+pub use status::{DomainRollout, Rollout, Status, all_members, wait_in_force};
+pub use timeline::{Step, Timeline, timeline};
+pub use timestamp::format_utc;
--- a/crates/ctl/src/report.rs
+++ b/crates/ctl/src/report.rs
@@ -6,9 +6,9 @@
 use std::fmt;
 use wire::{Audit, FleetObject};
 
-use crate::audit::lines;
+use crate::audit::format_records;
 use crate::check::{Finding, findings};
-use crate::{Applied, CtlError, Exit, FieldChange, Reach, diff, with_base};
+use crate::{Applied, CtlError, Exit, FieldChange, Rollout, diff, with_generation_header};
 
 /// What differs between a file and what is in force.
 #[derive(Clone, Debug, PartialEq, Serialize)]
@@ -31,7 +31,7 @@
     }
 
     /// Whether there is nothing to apply.
-    pub fn none(&self) -> bool {
+    pub fn is_empty(&self) -> bool {
         self.generation != Generation(0) && self.changes.is_empty()
     }
 }
@@ -56,7 +56,7 @@
     /// What it changed.
     pub differences: Differences,
     /// How far it is in force; missing when that wasn't waited for.
-    pub reach: Option<Reach>,
+    pub reach: Option<Rollout>,
 }
 
 impl Accepted {
@@ -93,7 +93,7 @@
 
 impl fmt::Display for Shown {
     fn fmt(&self, f: &mut fmt::Formatter<'_>) -> fmt::Result {
-        f.write_str(with_base(&self.config, self.generation).trim_end())
+        f.write_str(with_generation_header(&self.config, self.generation).trim_end())
     }
 }
 
@@ -106,7 +106,7 @@
 
 impl fmt::Display for History {
     fn fmt(&self, f: &mut fmt::Formatter<'_>) -> fmt::Result {
-        f.write_str(&lines(&self.records))
+        f.write_str(&format_records(&self.records))
     }
 }
 
@@ -137,7 +137,7 @@
             _ => Vec::new(),
         };
         let since = match err {
-            CtlError::Raced { since, .. } => since.clone(),
+            CtlError::Conflict { since, .. } => since.clone(),
             _ => Vec::new(),
         };
         Self { exit: err.exit(), error: err.to_string(), faults, since }
--- a/crates/ctl/src/source.rs
+++ b/crates/ctl/src/source.rs
@@ -21,10 +21,10 @@
     pub async fn fleet(&self) -> Result<FleetObject, CtlError> {
         let object = match self {
             Self::Platform(api) => read_fleet(api.as_ref()).await?.1,
-            Self::Hosts(addrs) => first(addrs).await?,
+            Self::Hosts(addrs) => first_answer(addrs).await?,
         };
         match Generation(object.generation) {
-            Generation(0) => Err(CtlError::Nothing),
+            Generation(0) => Err(CtlError::NoConfiguration),
             _ => Ok(object),
         }
     }
@@ -47,8 +47,8 @@
     regions.into_iter().flat_map(|r| r.domains).map(|d| d.name).collect()
 }
 
-async fn first(addrs: &[SocketAddr]) -> Result<FleetObject, CtlError> {
-    let mut last = CtlError::Nothing;
+async fn first_answer(addrs: &[SocketAddr]) -> Result<FleetObject, CtlError> {
+    let mut last = CtlError::NoConfiguration;
     for addr in addrs {
         match host::fleet(*addr).await {
             Ok(object) => return Ok(object),
@@ -59,4 +59,4 @@
 }
 
 /// Version zero: an object that must not exist yet.
-pub(crate) const NEW: Version = Version(0);
+pub(crate) const NOT_YET_CREATED: Version = Version(0);
--- a/crates/ctl/src/status.rs
+++ b/crates/ctl/src/status.rs
@@ -11,11 +11,11 @@
 use crate::{CtlError, host};
 
 /// Time between two looks at the hosts, ms.
-const LOOK: Ms = Ms(200);
+const POLL_INTERVAL: Ms = Ms(200);
 
 /// What is in force in one failure domain.
 #[derive(Clone, Debug, Default, PartialEq, Eq, Serialize)]
-pub struct DomainReach {
+pub struct DomainRollout {
     /// Its hosts that take requests.
     pub hosts: usize,
     /// Those of them that have the generation in force, or a higher one.
@@ -24,21 +24,21 @@
 
 /// On how many hosts of which failure domains a generation is in force.
 #[derive(Clone, Debug, PartialEq, Eq, Serialize)]
-pub struct Reach {
+pub struct Rollout {
     /// The generation.
     pub generation: Generation,
     /// By failure domain.
-    pub domains: BTreeMap<String, DomainReach>,
+    pub domains: BTreeMap<String, DomainRollout>,
 }
 
-impl Reach {
+impl Rollout {
     /// Counts members; stopping hosts are left out, for they take nothing new.
     ///
     /// `declared` are the configuration's failure domains. One without a host is counted too: a
     /// host that is cut off knows only its own domain, and its word alone would pass for all.
     pub fn of(generation: Generation, members: &[Member], declared: &[DomainId]) -> Self {
-        let none = |name: &DomainId| (name.to_string(), DomainReach::default());
-        let mut domains: BTreeMap<_, _> = declared.iter().map(none).collect();
+        let empty = |name: &DomainId| (name.to_string(), DomainRollout::default());
+        let mut domains: BTreeMap<_, _> = declared.iter().map(empty).collect();
         for m in members.iter().filter(|m| !m.leaving) {
             let domain = domains.entry(m.domain.clone()).or_default();
             domain.hosts += 1;
@@ -58,12 +58,12 @@
     }
 
     /// Whether it is in force on all hosts, of which each failure domain has at least one.
-    pub fn whole(&self) -> bool {
+    pub fn is_complete(&self) -> bool {
         self.hosts() > 0 && self.domains.values().all(|d| d.hosts > 0 && d.reached == d.hosts)
     }
 }
 
-impl fmt::Display for Reach {
+impl fmt::Display for Rollout {
     fn fmt(&self, f: &mut fmt::Formatter<'_>) -> fmt::Result {
         let (reached, hosts) = (self.reached(), self.hosts());
         write!(f, "generation {} in force on {reached} of {hosts} hosts", self.generation)?;
@@ -82,26 +82,26 @@
 pub async fn all_members(hosts: &[SocketAddr]) -> Result<Vec<Member>, CtlError> {
     let mut newest = BTreeMap::<String, Member>::new();
     let mut result = Ok(());
-    let mut heard = false;
+    let mut answered = false;
     for addr in hosts {
         match host::members(*addr).await {
             Ok(members) => {
-                heard = true;
+                answered = true;
                 members.into_iter().for_each(|m| merge(&mut newest, m));
             }
             Err(err) => result = Err(err),
         }
     }
     match result {
-        Err(err) if !heard => Err(err),
+        Err(err) if !answered => Err(err),
         _ => Ok(newest.into_values().collect()),
     }
 }
 
 fn merge(newest: &mut BTreeMap<String, Member>, member: Member) {
-    let age = |m: &Member| (m.incarnation, m.beat, m.generation);
+    let version = |m: &Member| (m.incarnation, m.beat, m.generation);
     match newest.get(&member.host) {
-        Some(known) if age(known) >= age(&member) => {}
+        Some(known) if version(known) >= version(&member) => {}
         _ => {
             newest.insert(member.host.clone(), member);
         }
@@ -115,14 +115,14 @@
     generation: Generation,
     declared: &[DomainId],
     wait: Ms,
-) -> Result<Reach, CtlError> {
+) -> Result<Rollout, CtlError> {
     let end = Instant::now() + wait.duration();
     loop {
-        let result = all_members(hosts).await.map(|m| Reach::of(generation, &m, declared));
+        let result = all_members(hosts).await.map(|m| Rollout::of(generation, &m, declared));
         match result {
-            Ok(reach) if reach.whole() => return Ok(reach),
+            Ok(reach) if reach.is_complete() => return Ok(reach),
             result if Instant::now() >= end => return result,
-            _ => tokio::time::sleep(LOOK.duration()).await,
+            _ => tokio::time::sleep(POLL_INTERVAL.duration()).await,
         }
     }
 }
@@ -136,7 +136,7 @@
     pub leaving: Option<Vec<String>>,
     /// How far the accepted generation, or else the highest one seen, is in force; missing when
     /// no host was asked.
-    pub reach: Option<Reach>,
+    pub reach: Option<Rollout>,
     /// The hosts; empty when none was asked.
     pub hosts: Vec<Member>,
 }
@@ -150,8 +150,8 @@
         declared: &[DomainId],
     ) -> Self {
         let highest = hosts.iter().map(|m| Generation(m.generation)).max();
-        let wanted = accepted.or(highest).unwrap_or_default();
-        let reach = (!hosts.is_empty()).then(|| Reach::of(wanted, &hosts, declared));
+        let generation = accepted.or(highest).unwrap_or_default();
+        let reach = (!hosts.is_empty()).then(|| Rollout::of(generation, &hosts, declared));
         Self { accepted, leaving, reach, hosts }
     }
 }
--- a/crates/ctl/src/story.rs
+++ b/crates/ctl/src/timeline.rs
@@ -5,7 +5,7 @@
 use std::fmt;
 
 /// Fields that every line has and that the story tells otherwise.
-const KNOWN: [&str; 3] = ["event", "name", "request"];
+const COMMON_FIELDS: [&str; 3] = ["event", "name", "request"];
 
 /// One step of a request.
 #[derive(Clone, Debug, PartialEq, Serialize)]
@@ -24,7 +24,7 @@
 
 /// All steps of a request, in order.
 #[derive(Clone, Debug, PartialEq, Serialize)]
-pub struct Story {
+pub struct Timeline {
     /// The request.
     pub request: String,
     /// What happened.
@@ -33,10 +33,10 @@
 
 /// Reads the steps of a request from log lines; each comes with the name of its file. What stands
 /// before a line's JSON, such as a host's name, goes to its source. Other lines are passed over.
-pub fn story<'a>(request: &str, lines: impl Iterator<Item = (&'a str, &'a str)>) -> Story {
+pub fn timeline<'a>(request: &str, lines: impl Iterator<Item = (&'a str, &'a str)>) -> Timeline {
     let mut steps: Vec<Step> = lines.filter_map(|(file, line)| step(request, file, line)).collect();
     steps.sort_by(|a, b| a.time.cmp(&b.time));
-    Story { request: request.to_owned(), steps }
+    Timeline { request: request.to_owned(), steps }
 }
 
 /// The JSON of a log line; what stands before it, such as a host's name, is left out.
@@ -55,17 +55,17 @@
         Some(host) => host.to_owned(),
         None => file.to_owned(),
     };
-    let told = fields.iter().filter(|(name, _)| !KNOWN.contains(&name.as_str()));
+    let shown = fields.iter().filter(|(name, _)| !COMMON_FIELDS.contains(&name.as_str()));
     Some(Step {
         time: line.get("timestamp")?.as_str()?.to_owned(),
         source,
         event: fields.get("event")?.as_u64()?,
         name: fields.get("name")?.as_str()?.to_owned(),
-        fields: told.map(|(name, value)| (name.clone(), value.clone())).collect(),
+        fields: shown.map(|(name, value)| (name.clone(), value.clone())).collect(),
     })
 }
 
-impl fmt::Display for Story {
+impl fmt::Display for Timeline {
     fn fmt(&self, f: &mut fmt::Formatter<'_>) -> fmt::Result {
         match self.steps.len() {
             0 => return write!(f, "no line names request {}", self.request),
--- a/crates/ctl/src/stamp.rs
+++ b/crates/ctl/src/timestamp.rs
@@ -6,7 +6,7 @@
 const DAY: u64 = 86_400;
 
 /// A point in time as `2026-12-02T23:15:00Z`. Whole seconds, in UTC.
-pub fn stamp(at: Ms) -> String {
+pub fn format_utc(at: Ms) -> String {
     let secs = at.0 / 1000;
     let (year, month, day) = date(secs / DAY);
     let (hour, minute, second) = (secs % DAY / 3600, secs % 3600 / 60, secs % 60);
--- a/crates/ctl/tests/suite/account.rs
+++ b/crates/ctl/tests/suite/account.rs
@@ -17,7 +17,7 @@
     )
 }
 
-fn played() -> Vec<String> {
+fn sample_lines() -> Vec<String> {
     vec![
         served("a", "note", [900, 1_000, 1], 0, 16),
         served("b", "note", [950, 1_050, 1], 0, 16),
@@ -36,7 +36,7 @@
 
 #[test]
 fn each_late_request_has_one_cause() {
-    let lines = played();
+    let lines = sample_lines();
     let account = account(lines.iter().map(String::as_str));
     let note = &account.routes["note"];
     let causes: Vec<(Cause, u64)> = note.causes.iter().map(|(c, n)| (*c, *n)).collect();
@@ -48,13 +48,13 @@
 }
 
 #[test]
-fn the_table_tells_it_by_route() {
-    let lines = played();
+fn table_lists_causes_by_route() {
+    let lines = sample_lines();
     insta::assert_snapshot!(account(lines.iter().map(String::as_str)).to_string());
 }
 
 #[test]
-fn a_plain_request_has_its_target_to_blame() {
+fn late_request_without_stages_is_attributed_to_its_target() {
     let fields = r#""request":"p","route":"read","took_ms":900,"late_ms":700,"stands_for":1"#;
     let lines = [line("RequestServed", fields)];
     let account = account(lines.iter().map(String::as_str));
--- a/crates/ctl/tests/suite/diff.rs
+++ b/crates/ctl/tests/suite/diff.rs
@@ -2,7 +2,7 @@
 
 use base::{Generation, Ms};
 use conf::{Fleet, Plan};
-use ctl::{base_of, check, diff, explain, stamp, with_base};
+use ctl::{check, diff, explain, format_utc, header_generation, with_generation_header};
 
 use crate::support::yaml;
 
@@ -16,8 +16,8 @@
 }
 
 #[test]
-fn fields_are_told_by_name() {
-    let told = changes(|f| {
+fn changes_are_listed_by_name() {
+    let output = changes(|f| {
         f.cost_weight = 0.3;
         f.pipelines[3].deadline_ms = Some(Ms(5500));
         f.pipelines[1].priority = None;
@@ -28,14 +28,14 @@
         new.name = "apprentices".into();
         f.workspaces.insert(0, new);
     });
-    insta::assert_snapshot!(told.join("\n"));
+    insta::assert_snapshot!(output.join("\n"));
 }
 
 #[test]
 fn the_order_of_stages_is_a_difference() {
-    let told = changes(|f| f.pipelines[0].stages.swap(0, 1));
+    let output = changes(|f| f.pipelines[0].stages.swap(0, 1));
     assert_eq!(
-        told,
+        output,
         ["pipelines.condition-report.stages (order): \
              [\"encode\",\"retrieve\",\"rerank\",\"generate\"] -> \
              [\"retrieve\",\"encode\",\"rerank\",\"generate\"]"]
@@ -50,25 +50,26 @@
 }
 
 #[test]
-fn a_file_says_what_it_was_read_from() {
-    let shown = with_base("a: 1\n", Generation(7));
+fn the_generation_header_is_written_and_parsed() {
+    let shown = with_generation_header("a: 1\n", Generation(7));
     assert_eq!(shown, "# generation: 7\na: 1\n");
-    assert_eq!(base_of(&shown), Some(Generation(7)));
-    assert_eq!(with_base(&shown, Generation(8)), "# generation: 8\na: 1\n");
-    assert_eq!(base_of("# generation: next\n"), None);
-    assert_eq!(base_of("a: 1\n# generation: 7\n"), None);
+    assert_eq!(header_generation(&shown), Some(Generation(7)));
+    assert_eq!(with_generation_header(&shown, Generation(8)), "# generation: 8\na: 1\n");
+    assert_eq!(header_generation("# generation: next\n"), None);
+    assert_eq!(header_generation("a: 1\n# generation: 7\n"), None);
 }
 
 #[test]
-fn points_in_time_are_told_in_utc() {
-    let told = [0, 951_782_400_000, 1_796_253_548_035, 4_107_542_399_999].map(|ms| stamp(Ms(ms)));
+fn timestamps_are_formatted_in_utc() {
+    let output =
+        [0, 951_782_400_000, 1_796_253_548_035, 4_107_542_399_999].map(|ms| format_utc(Ms(ms)));
     let expected = [
         "1970-01-01T00:00:00Z",
         "2000-02-29T00:00:00Z",
         "2026-12-02T23:19:08Z",
         "2100-02-28T23:59:59Z",
     ];
-    assert_eq!(told, expected);
+    assert_eq!(output, expected);
 }
 
 /// Before its end the exception decides, with its reason; after it the pipeline's own value.
@@ -82,7 +83,7 @@
 }
 
 #[test]
-fn the_kind_of_a_file_is_told_by_its_fields() {
+fn the_kind_of_a_file_follows_from_its_fields() {
     let fleet = check(&yaml(1), None, Ms(1)).expect("it passes");
     assert_eq!(fleet.warnings, []);
     assert_eq!(check(&yaml(1), None, Ms(2000)).expect("it passes").warnings.len(), 1);
@@ -91,7 +92,7 @@
         check(host, None, Ms(1)).expect("it passes").summary,
         "settings of host thies-1 in thies-nord"
     );
-    assert!(matches!(check("a: 1\n", None, Ms(1)), Err(ctl::CtlError::Kind)));
+    assert!(matches!(check("a: 1\n", None, Ms(1)), Err(ctl::CtlError::FileKind)));
     assert!(matches!(check("a: [", None, Ms(1)), Err(ctl::CtlError::Parse(_))));
     assert!(check(host, Some(conf::FileKind::Fleet), Ms(1)).is_err());
 }
--- a/crates/ctl/tests/suite/fuzz.rs
+++ b/crates/ctl/tests/suite/fuzz.rs
@@ -1,13 +1,13 @@
 //! Several operators apply at once while the platform fails call by call, in virtual time.
 //!
-//! The oracle: every write that landed is one generation above the one before, and its trail is
+//! The oracle: every write that accepted is one generation above the one before, and its trail is
 //! the earlier trail and one record; an operator who was told "accepted" finds that change once,
 //! under that generation; one who was told "nothing changed" finds nothing; one who was told that
 //! it is open finds it at most once.
 
-use crate::support::{Fault, Memory, run, yaml};
+use crate::support::{Fault, MemoryPlatform, run, yaml};
 use base::{ChangeId, Generation, Ms, Version};
-use ctl::{ChangeNote, CtlError, PAGE, Settle, apply_within, history};
+use ctl::{ChangeNote, CtlError, PAGE_RECORDS, WriteOptions, apply_within, history};
 use proptest::prelude::*;
 use proptest::test_runner::{Config, RngSeed, TestError, TestRunner};
 use std::cell::Cell;
@@ -17,43 +17,43 @@
 
 /// Short, so that outcomes stay open at times. The id is made from the change's number, so that a
 /// schedule runs the same each time.
-fn settle(number: u32) -> Settle {
+fn write_options(number: u32) -> WriteOptions {
     let change = ChangeId::from_u128(
         u128::from(number).wrapping_mul(0x9e37_79b9_7f4a_7c15_f39c_c060_5ced_c835),
     );
-    Settle { change, within: Ms(300), pause: Ms(50) }
+    WriteOptions { change, retry_for: Ms(300), retry_pause: Ms(50) }
 }
 
 /// One schedule.
 #[derive(Clone, Debug)]
-struct Plan {
+struct Schedule {
     /// Records in the trail before it starts.
-    filled: u64,
+    initial_records: u64,
     /// For each operator, the pauses before each of its changes, ms.
     operators: Vec<Vec<u64>>,
     /// Each call's fault and time, ms.
     faults: Vec<(Fault, u64)>,
 }
 
-fn plan() -> impl Strategy<Value = Plan> {
+fn schedule() -> impl Strategy<Value = Schedule> {
     let fault = |good: u32, down: u32| {
         prop_oneof![
             good => Just(Fault::None),
             down => Just(Fault::Down),
             1 => Just(Fault::LoseAnswer),
             1 => Just(Fault::LoseRequest),
-            2 => (1u64..400).prop_map(Fault::Late),
+            2 => (1u64..400).prop_map(Fault::Delayed),
             1 => Just(Fault::Stale),
         ]
     };
-    let filled = prop_oneof![Just(0), 0u64..3 * PAGE as u64, 60u64..70];
+    let initial_records = prop_oneof![Just(0), 0u64..3 * PAGE_RECORDS as u64, 60u64..70];
     let operators = prop::collection::vec(prop::collection::vec(0u64..100, 1..5), 2..4);
     let mild = prop::collection::vec((fault(6, 1), 0u64..60), 0..80);
     // Outages so long that outcomes stay open.
     let harsh = prop::collection::vec((fault(3, 12), 0u64..60), 0..80);
     let faults = prop_oneof![mild, harsh];
-    (filled, operators, faults).prop_map(|(filled, operators, faults)| Plan {
-        filled,
+    (initial_records, operators, faults).prop_map(|(initial_records, operators, faults)| Schedule {
+        initial_records,
         operators,
         faults,
     })
@@ -61,35 +61,39 @@
 
 /// What an operator was told of a change.
 #[derive(Debug)]
-enum Told {
+enum Reported {
     Accepted(Generation),
-    Nothing,
-    Open,
+    Unchanged,
+    OutcomeUnknown,
 }
 
-async fn operator(memory: Memory, name: usize, pauses: Vec<u64>) -> Vec<(String, Told)> {
-    let mut told = Vec::new();
+async fn operator(
+    memory: MemoryPlatform,
+    name: usize,
+    pauses: Vec<u64>,
+) -> Vec<(String, Reported)> {
+    let mut reported = Vec::new();
     for (i, pause) in pauses.into_iter().enumerate() {
         tokio::time::sleep(Ms(pause).duration()).await;
         let why = format!("change {i} of operator {name}");
         let note = ChangeNote { who: "operator", why: &why, at: Ms(1) };
         let number = 1 + (name * 10 + i) as u32;
         let text = yaml(number);
-        let what = match apply_within(&memory, &text, None, &note, settle(number)).await {
-            Ok(applied) => Told::Accepted(applied.generation),
-            Err(CtlError::Open { .. }) => Told::Open,
-            Err(_) => Told::Nothing,
+        let what = match apply_within(&memory, &text, None, &note, write_options(number)).await {
+            Ok(applied) => Reported::Accepted(applied.generation),
+            Err(CtlError::OutcomeUnknown { .. }) => Reported::OutcomeUnknown,
+            Err(_) => Reported::Unchanged,
         };
-        told.push((why, what));
+        reported.push((why, what));
     }
-    told
+    reported
 }
 
 /// A trail of `n` changes, with all but the newest pages' worth on pages, as `apply` leaves it.
-async fn fill(memory: &Memory, n: u64) {
+async fn fill_trail(memory: &MemoryPlatform, n: u64) {
     let record =
         |to: u64| Audit { from: to - 1, to, why: format!("filled {to}"), ..Audit::default() };
-    let page = PAGE as u64;
+    let page = PAGE_RECORDS as u64;
     let pages = n.saturating_sub(page + 1) / page;
     for p in 0..pages {
         let audit = (p * page + 1..=(p + 1) * page).map(record).collect();
@@ -109,39 +113,44 @@
 }
 
 /// Gives how many changes were told to be accepted, nothing and open.
-async fn play(memory: Memory, plan: Plan) -> Result<[usize; 3], String> {
-    fill(&memory, plan.filled).await;
-    memory.set_faults(plan.faults);
-    let tasks: Vec<_> = plan
+async fn run_schedule(memory: MemoryPlatform, schedule: Schedule) -> Result<[usize; 3], String> {
+    fill_trail(&memory, schedule.initial_records).await;
+    memory.set_faults(schedule.faults);
+    let tasks: Vec<_> = schedule
         .operators
         .into_iter()
         .enumerate()
         .map(|(name, pauses)| tokio::spawn(operator(memory.clone(), name, pauses)))
         .collect();
-    let mut told = Vec::new();
+    let mut reported = Vec::new();
     for task in tasks {
-        told.extend(task.await.map_err(|err| err.to_string())?);
+        reported.extend(task.await.map_err(|err| err.to_string())?);
     }
     // Whatever is still on its way lands.
     memory.set_faults([]);
     tokio::time::sleep(Ms::secs(10).duration()).await;
-    judge(&memory, &told).await?;
-    let count = |kind: fn(&Told) -> bool| told.iter().filter(|(_, told)| kind(told)).count();
+    check_outcomes(&memory, &reported).await?;
+    let count = |kind: fn(&Reported) -> bool| {
+        reported.iter().filter(|(_, reported)| kind(reported)).count()
+    };
     Ok([
-        count(|t| matches!(t, Told::Accepted(_))),
-        count(|t| matches!(t, Told::Nothing)),
-        count(|t| matches!(t, Told::Open)),
+        count(|t| matches!(t, Reported::Accepted(_))),
+        count(|t| matches!(t, Reported::Unchanged)),
+        count(|t| matches!(t, Reported::OutcomeUnknown)),
     ])
 }
 
-async fn judge(memory: &Memory, told: &[(String, Told)]) -> Result<(), String> {
-    let landed = memory.landed();
-    for pair in landed.windows(2) {
+async fn check_outcomes(
+    memory: &MemoryPlatform,
+    reported: &[(String, Reported)],
+) -> Result<(), String> {
+    let accepted = memory.accepted();
+    for pair in accepted.windows(2) {
         if pair[1].generation != pair[0].generation + 1 {
             return Err(format!("{} after {}", pair[1].generation, pair[0].generation));
         }
     }
-    let Some(last) = landed.last() else { return Ok(()) };
+    let Some(last) = accepted.last() else { return Ok(()) };
     let mut trail =
         history(memory, last, usize::MAX).await.map_err(|err| format!("the trail: {err}"))?;
     trail.reverse();
@@ -150,19 +159,21 @@
     if numbers != expected {
         return Err(format!("generations in the trail: {numbers:?}"));
     }
-    if last.audit.len() >= 3 * PAGE {
+    if last.audit.len() >= 3 * PAGE_RECORDS {
         return Err(format!("{} records beside the configuration", last.audit.len()));
     }
     let mut at = HashMap::<&str, Vec<u64>>::new();
     for record in &trail {
         at.entry(&record.why).or_default().push(record.to);
     }
-    for (why, told) in told {
+    for (why, reported) in reported {
         let found = at.get(why.as_str()).map_or(&[][..], Vec::as_slice);
-        match (told, found) {
-            (Told::Accepted(g), [to]) if g.0 == *to => {}
-            (Told::Nothing, []) | (Told::Open, [] | [_]) => {}
-            (told, found) => return Err(format!("{why}: told {told:?}, found at {found:?}")),
+        match (reported, found) {
+            (Reported::Accepted(g), [to]) if g.0 == *to => {}
+            (Reported::Unchanged, []) | (Reported::OutcomeUnknown, [] | [_]) => {}
+            (reported, found) => {
+                return Err(format!("{why}: reported {reported:?}, found at {found:?}"));
+            }
         }
     }
     Ok(())
@@ -180,10 +191,11 @@
 #[test]
 fn each_accepted_change_stands_once_and_none_is_lost() {
     let counts = Cell::new([0; 3]);
-    let result = runner(2000).run(&plan(), |plan| {
-        let told = run(play(Memory::default(), plan)).map_err(TestCaseError::fail)?;
+    let result = runner(2000).run(&schedule(), |schedule| {
+        let reported =
+            run(run_schedule(MemoryPlatform::default(), schedule)).map_err(TestCaseError::fail)?;
         let before = counts.get();
-        counts.set(std::array::from_fn(|i| before[i] + told[i]));
+        counts.set(std::array::from_fn(|i| before[i] + reported[i]));
         Ok(())
     });
     result.unwrap_or_else(|err| panic!("{err}"));
@@ -195,8 +207,8 @@
 /// try met a conflict, which was with that very write, and an old read hid it. The operator was
 /// told that another had been first, though the change was in force.
 #[test]
-fn an_old_read_after_a_conflict_with_the_own_write_is_no_loss() {
-    use Fault::{Down, Late, LoseAnswer, LoseRequest, None, Stale};
+fn a_stale_read_after_a_conflict_with_the_own_write_is_no_loss() {
+    use Fault::{Delayed, Down, LoseAnswer, LoseRequest, None, Stale};
     let faults = [
         (Down, 0),
         (None, 0),
@@ -206,7 +218,7 @@
         (LoseRequest, 0),
         (None, 29),
         (Down, 0),
-        (Late(33), 0),
+        (Delayed(33), 0),
         (None, 0),
         (Down, 0),
         (None, 0),
@@ -214,16 +226,18 @@
         (Stale, 0),
     ];
     let operators = vec![vec![91, 55], vec![91, 75]];
-    let plan = Plan { filled: 0, operators, faults: faults.to_vec() };
-    run(play(Memory::default(), plan)).unwrap_or_else(|err| panic!("{err}"));
+    let schedule = Schedule { initial_records: 0, operators, faults: faults.to_vec() };
+    run(run_schedule(MemoryPlatform::default(), schedule)).unwrap_or_else(|err| panic!("{err}"));
 }
 
 /// The same with a platform that ignores the conditions of writes: a delayed write lands over a
 /// newer one, and the oracle must say so.
 #[test]
 fn without_the_condition_the_proof_fails() {
-    let result = runner(2000).run(&plan(), |plan| {
-        run(play(Memory::unconditional(), plan)).map(drop).map_err(TestCaseError::fail)
+    let result = runner(2000).run(&schedule(), |schedule| {
+        run(run_schedule(MemoryPlatform::unconditional(), schedule))
+            .map(drop)
+            .map_err(TestCaseError::fail)
     });
     assert!(matches!(result, Err(TestError::Fail(..))), "nothing was found");
 }
--- a/crates/ctl/tests/suite/main.rs
+++ b/crates/ctl/tests/suite/main.rs
@@ -6,5 +6,5 @@
 mod fuzz;
 mod platform;
 mod size;
-mod story;
 mod support;
+mod timeline;
--- a/crates/ctl/tests/suite/platform.rs
+++ b/crates/ctl/tests/suite/platform.rs
@@ -1,7 +1,7 @@
 //! The same over HTTP: the stand-in of the platform on a free port, and hosts' admin endpoints.
 
 use base::{Generation, Ms};
-use ctl::{ChangeNote, CtlError, Reach, Source, Status, apply, leave, wait_in_force};
+use ctl::{ChangeNote, CtlError, Rollout, Source, Status, apply, leave, wait_in_force};
 use fakes::{Platform, PlatformFaults};
 use hyper::body::Incoming;
 use hyper::{Request, Response, StatusCode};
@@ -32,21 +32,21 @@
 
 /// The platform takes two writes and closes the connection on each: the change stands once.
 #[tokio::test]
-async fn a_lost_answer_over_http_stands_once() {
+async fn a_write_with_lost_responses_over_http_is_applied_once() {
     let (platform, api) = platform().await;
     platform.set_faults(PlatformFaults { lose_answers: 2, ..PlatformFaults::default() });
-    let applied = apply(&*api, &yaml(2), None, &note("two")).await.expect("it landed");
+    let applied = apply(&*api, &yaml(2), None, &note("two")).await.expect("the change is accepted");
     assert_eq!(applied.generation, Generation(1));
-    let (_, object) = ctl::read_fleet(&*api).await.expect("it is read");
+    let (_, object) = ctl::read_fleet(&*api).await.expect("the object is readable");
     assert_eq!(object.audit.len(), 1);
     platform.close().await;
 }
 
 /// Twelve operators apply at once from generation 1: one wins, eleven see its change.
 #[tokio::test]
-async fn of_many_that_race_one_wins() {
+async fn of_many_concurrent_changes_one_wins() {
     let (platform, api) = platform().await;
-    apply(&*api, &yaml(1), None, &note("first")).await.expect("it lands");
+    apply(&*api, &yaml(1), None, &note("first")).await.expect("the change is accepted");
     let tasks = (2..14).map(|weight| {
         let api = api.clone();
         tokio::spawn(async move {
@@ -58,7 +58,7 @@
     for result in results {
         match result.expect("it ran") {
             Ok(_) => won += 1,
-            Err(CtlError::Raced { since, .. }) => raced += usize::from(since.len() == 1),
+            Err(CtlError::Conflict { since, .. }) => raced += usize::from(since.len() == 1),
             Err(err) => panic!("{err}"),
         }
     }
@@ -70,17 +70,17 @@
 #[tokio::test]
 async fn in_an_outage_a_host_answers() {
     let (platform, api) = platform().await;
-    apply(&*api, &yaml(1), None, &note("first")).await.expect("it lands");
-    let (_, object) = ctl::read_fleet(&*api).await.expect("it is read");
-    let host = Admin::start(object, 1).await;
+    apply(&*api, &yaml(1), None, &note("first")).await.expect("the change is accepted");
+    let (_, object) = ctl::read_fleet(&*api).await.expect("the object is readable");
+    let host = AdminEndpoint::start(object, 1).await;
     platform.set_faults(PlatformFaults { down: true, ..PlatformFaults::default() });
     let result = apply(&*api, &yaml(2), None, &note("two")).await;
     assert!(matches!(result, Err(CtlError::Store(_))), "{result:?}");
-    let source = Source::Hosts(vec![closed().await, host]);
+    let source = Source::Hosts(vec![unused_addr().await, host]);
     assert_eq!(source.fleet().await.expect("the second answers").config, yaml(1));
     assert_eq!(source.history(10).await.expect("it answers")[0].why, "first");
-    let none = Source::Hosts(vec![closed().await]).fleet().await;
-    assert!(matches!(none, Err(CtlError::Host { .. })), "{none:?}");
+    let none = Source::Hosts(vec![unused_addr().await]).fleet().await;
+    assert!(matches!(none, Err(CtlError::HostUnreachable { .. })), "{none:?}");
     platform.close().await;
 }
 
@@ -90,19 +90,20 @@
 async fn a_target_is_marked_and_taken_back() {
     let (platform, api) = platform().await;
     let unset = leave(&*api, "register-1", true, &note("update")).await;
-    assert!(matches!(unset, Err(CtlError::Nothing)), "{unset:?}");
-    apply(&*api, &yaml(1), None, &note("first")).await.expect("it lands");
+    assert!(matches!(unset, Err(CtlError::NoConfiguration)), "{unset:?}");
+    apply(&*api, &yaml(1), None, &note("first")).await.expect("the change is accepted");
     let unknown = leave(&*api, "register-2", true, &note("update")).await;
-    assert!(matches!(unknown, Err(CtlError::Unknown { .. })), "{unknown:?}");
-    let first = leave(&*api, "register-1", true, &note("update")).await.expect("it lands");
+    assert!(matches!(unknown, Err(CtlError::NotDeclared { .. })), "{unknown:?}");
+    let first =
+        leave(&*api, "register-1", true, &note("update")).await.expect("the change is accepted");
     let again = leave(&*api, "register-1", true, &note("update")).await.expect("no change");
     assert_eq!((first.changed, again.changed), (true, false));
-    assert_eq!(ctl::marked(&*api).await.expect("it is read"), ["register-1"]);
+    assert_eq!(ctl::marked(&*api).await.expect("the object is readable"), ["register-1"]);
     let mut early = note("done");
     early.at = Ms(1);
-    let back = leave(&*api, "register-1", false, &early).await.expect("it lands");
+    let back = leave(&*api, "register-1", false, &early).await.expect("the change is accepted");
     assert!(back.since_ms > first.since_ms);
-    assert!(ctl::marked(&*api).await.expect("it is read").is_empty());
+    assert!(ctl::marked(&*api).await.expect("the object is readable").is_empty());
     let body = platform.list("leaving").objects[0].body.clone();
     let seen: LeavingTarget = serde_json::from_str(&body).expect("hosts can read it");
     let (target, since_ms) = ("register-1".to_owned(), back.since_ms);
@@ -114,9 +115,9 @@
 /// too short says how far it came. A stopping host is not waited for.
 #[tokio::test]
 async fn the_wait_ends_when_all_have_it() {
-    let host = Admin::start(FleetObject::default(), 3).await;
+    let host = AdminEndpoint::start(FleetObject::default(), 3).await;
     let reach = wait_in_force(&[host], Generation(9), &[], Ms(1)).await.expect("it answers");
-    assert!(!reach.whole());
+    assert!(!reach.is_complete());
     let reach = wait_in_force(&[host], Generation(2), &[], Ms::secs(60)).await.expect("it answers");
     insta::assert_snapshot!(reach.to_string());
     let members = ctl::all_members(&[host]).await.expect("it answers");
@@ -127,28 +128,28 @@
 }
 
 #[test]
-fn no_hosts_is_not_everywhere() {
-    assert!(!Reach::of(Generation(0), &[], &[]).whole());
+fn a_rollout_without_hosts_is_incomplete() {
+    assert!(!Rollout::of(Generation(0), &[], &[]).is_complete());
 }
 
 /// The host that was asked is cut off and knows only itself. It has the new generation, but
 /// nothing is known of the other failure domain: that is not "in force everywhere".
 #[test]
-fn a_domain_that_nobody_knows_of_is_not_reached() {
+fn a_domain_without_known_hosts_is_incomplete() {
     let (domain, generation) = ("west-a".to_owned(), 2);
     let member = Member { domain, generation, ..Member::default() };
-    let reach = Reach::of(Generation(2), &[member], &["west-a".into(), "west-b".into()]);
-    assert!(!reach.whole());
-    let told = "generation 2 in force on 1 of 1 hosts\n  west-a: 1 of 1\n  west-b: no host known";
-    assert_eq!(reach.to_string(), told);
+    let reach = Rollout::of(Generation(2), &[member], &["west-a".into(), "west-b".into()]);
+    assert!(!reach.is_complete());
+    let output = "generation 2 in force on 1 of 1 hosts\n  west-a: 1 of 1\n  west-b: no host known";
+    assert_eq!(reach.to_string(), output);
 }
 
 /// The first host that is asked has an older word of its peer than the peer itself, of the same
 /// heartbeat or an earlier one: what the peer says counts.
 #[tokio::test]
-async fn the_newest_word_of_a_host_counts() {
-    let old = Admin::start(FleetObject::default(), u64::MAX).await;
-    let new = Admin::start(FleetObject::default(), 0).await;
+async fn the_newest_entry_of_a_host_wins() {
+    let old = AdminEndpoint::start(FleetObject::default(), u64::MAX).await;
+    let new = AdminEndpoint::start(FleetObject::default(), 0).await;
     for hosts in [[old, new], [new, old]] {
         let members = ctl::all_members(&hosts).await.expect("both answer");
         let b: Vec<_> = members.iter().filter(|m| m.host == "b-1").map(|m| m.generation).collect();
@@ -157,29 +158,29 @@
 }
 
 /// A port that nobody listens on any more.
-async fn closed() -> SocketAddr {
+async fn unused_addr() -> SocketAddr {
     let listener = TcpListener::bind(local()).await.expect("a free port");
     listener.local_addr().expect("it has an address")
 }
 
-/// A host's admin endpoint: members, of whom one comes to generation 2 after some looks.
-struct Admin {
+/// A host's admin endpoint: members, of whom one comes to generation 2 after some polls.
+struct AdminEndpoint {
     fleet: FleetObject,
-    looks: AtomicU64,
-    late: u64,
+    polls: AtomicU64,
+    lagging_polls: u64,
 }
 
-impl Admin {
-    async fn start(fleet: FleetObject, late: u64) -> SocketAddr {
+impl AdminEndpoint {
+    async fn start(fleet: FleetObject, lagging_polls: u64) -> SocketAddr {
         let listener = TcpListener::bind(local()).await.expect("a free port");
         let addr = listener.local_addr().expect("it has an address");
-        let admin = Arc::new(Self { fleet, looks: AtomicU64::new(0), late });
+        let admin = Arc::new(Self { fleet, polls: AtomicU64::new(0), lagging_polls });
         tokio::spawn(serve(listener, Bounds::default(), admin, Stop::new()));
         addr
     }
 
     fn members(&self) -> MemberList {
-        let late = self.looks.fetch_add(1, Ordering::Relaxed) < self.late;
+        let lagging = self.polls.fetch_add(1, Ordering::Relaxed) < self.lagging_polls;
         let member = |host: &str, domain: &str, generation, leaving| Member {
             host: host.to_owned(),
             domain: domain.to_owned(),
@@ -189,7 +190,7 @@
         };
         let members = vec![
             member("a-1", "west-a", 2, false),
-            member("b-1", "west-b", if late { 1 } else { 2 }, false),
+            member("b-1", "west-b", if lagging { 1 } else { 2 }, false),
             member("b-2", "west-b", 2, false),
             member("b-3", "west-b", 1, true),
         ];
@@ -197,7 +198,7 @@
     }
 }
 
-impl Handler for Admin {
+impl Handler for AdminEndpoint {
     async fn handle(
         self: Arc<Self>,
         request: Request<Incoming>,
--- a/crates/ctl/tests/suite/size.rs
+++ b/crates/ctl/tests/suite/size.rs
@@ -2,10 +2,10 @@
 
 use base::{DomainId, Ms};
 use conf::{Domain, Fleet, Target, Workspace};
-use ctl::{ChangeNote, PAGE, apply, diff};
+use ctl::{ChangeNote, PAGE_RECORDS, apply, diff};
 use store::Api;
 
-use crate::support::{Memory, run};
+use crate::support::{MemoryPlatform, run};
 
 const COOPERATIVE: &str = include_str!("../../../../examples/cooperative.yaml");
 /// Bytes of one value in the platform.
@@ -48,17 +48,17 @@
 #[test]
 fn the_largest_fleet_fits_with_its_trail() {
     run(async {
-        let memory = Memory::default();
+        let memory = MemoryPlatform::default();
         let why = "w".repeat(500);
         let note = ChangeNote { who: "operator", why: &why, at: Ms(1) };
         let mut fleet = full();
         let mut largest = 0;
-        for i in 0..2 * PAGE + 2 {
+        for i in 0..2 * PAGE_RECORDS + 2 {
             for workspace in &mut fleet.workspaces {
                 workspace.weight = i as f64 + 1.25;
             }
-            apply(&memory, &fleet.to_yaml(), None, &note).await.expect("it lands");
-            let object = memory.get("fleet", "fleet").await.expect("it is read");
+            apply(&memory, &fleet.to_yaml(), None, &note).await.expect("the change is accepted");
+            let object = memory.get("fleet", "fleet").await.expect("the object is readable");
             largest = largest.max(object.expect("it is there").body.len());
         }
         println!("{largest} bytes with {} bytes of YAML", fleet.to_yaml().len());
@@ -67,7 +67,7 @@
 }
 
 #[test]
-fn a_change_of_every_workspace_is_told_one_by_one() {
+fn each_changed_workspace_is_reported() {
     let from = full();
     let mut to = from.clone();
     to.workspaces.iter_mut().for_each(|w| w.weight = 2.0);
--- a/crates/ctl/tests/suite/support.rs
+++ b/crates/ctl/tests/suite/support.rs
@@ -24,7 +24,7 @@
     /// The write is lost, and nobody says so.
     LoseRequest,
     /// No answer, and the write takes effect this much later, if its condition holds then.
-    Late(u64),
+    Delayed(u64),
     /// A read gives what was there before the last write.
     Stale,
 }
@@ -37,15 +37,15 @@
     /// Each next call's fault and how long it takes, ms.
     faults: VecDeque<(Fault, u64)>,
     /// Bodies of the configuration object that were accepted, in order.
-    landed: Vec<String>,
+    accepted: Vec<String>,
     unconditional: bool,
 }
 
 /// The platform in memory.
 #[derive(Clone, Default)]
-pub struct Memory(Arc<Mutex<Inner>>);
+pub struct MemoryPlatform(Arc<Mutex<Inner>>);
 
-impl Memory {
+impl MemoryPlatform {
     /// One that ignores the conditions of writes: what the proofs must find.
     pub fn unconditional() -> Self {
         let memory = Self::default();
@@ -59,9 +59,13 @@
     }
 
     /// Every body that the configuration object has had, oldest first.
-    pub fn landed(&self) -> Vec<FleetObject> {
+    pub fn accepted(&self) -> Vec<FleetObject> {
         let inner = self.lock();
-        inner.landed.iter().map(|body| serde_json::from_str(body).expect("it is read")).collect()
+        inner
+            .accepted
+            .iter()
+            .map(|body| serde_json::from_str(body).expect("the object is readable"))
+            .collect()
     }
 
     fn lock(&self) -> MutexGuard<'_, Inner> {
@@ -92,14 +96,14 @@
         self.before.retain(|o| (o.kind.as_str(), o.name.as_str()) != (kind, name));
         self.before.extend(before);
         if kind == "fleet" {
-            self.landed.push(body.to_owned());
+            self.accepted.push(body.to_owned());
         }
         Ok(version)
     }
 }
 
 #[async_trait]
-impl Api for Memory {
+impl Api for MemoryPlatform {
     async fn get(&self, kind: &str, name: &str) -> Result<Option<Object>, StoreError> {
         match self.next().await {
             Fault::Down => Err(StoreError::Down),
@@ -132,7 +136,7 @@
                 let _ = self.lock().put(kind, name, expected, body);
                 Err(StoreError::Doubt)
             }
-            Fault::Late(ms) => {
+            Fault::Delayed(ms) => {
                 let memory = self.clone();
                 let (kind, name, body) = (kind.to_owned(), name.to_owned(), body.to_owned());
                 tokio::spawn(async move {
