--- a/bins/siskinwheel/src/args.rs
+++ b/bins/siskinwheel/src/args.rs
@@ -1,4 +1,4 @@
-//! The command line as one typed value.
+//! Parses the command line.
 
 use anyhow::{Context, Result, bail};
 use base::{Generation, Ms};
@@ -8,12 +8,12 @@
 use std::net::SocketAddr;
 use std::path::PathBuf;
 
-/// Audit records that `history` gives when it isn't told how many.
+/// Audit records that `history` prints without `--last`.
 const DEFAULT_LAST: usize = 20;
-/// Seconds that `apply --wait` waits when it isn't told how long.
+/// Time that `apply --wait` waits without `--within`.
 const DEFAULT_WAIT_SECS: u64 = 30;
 
-/// What the program is told.
+/// The parsed command line.
 pub struct Options {
     pub command: Command,
     pub platform: Option<SocketAddr>,
@@ -21,7 +21,7 @@
     pub json: bool,
 }
 
-/// What to do.
+/// A command with its arguments.
 pub enum Command {
     Check { file: PathBuf, kind: Option<FileKind> },
     CheckEdge { file: PathBuf },
@@ -37,14 +37,14 @@
     Account { files: Vec<PathBuf> },
 }
 
-/// Who changes and why.
+/// Who makes a change and why.
 pub struct Note {
     pub who: String,
     pub why: String,
 }
 
 impl Options {
-    /// Reads the arguments after the program's name.
+    /// Parses the arguments after the program's name.
     pub fn parse(args: Vec<OsString>) -> Result<Self> {
         let mut args = Arguments::from_vec(args);
         let name = args.subcommand()?.context("a command is missing")?;
@@ -71,7 +71,7 @@
         }
     }
 
-    /// Insists on the addresses that the command needs.
+    /// Fails if an address that the command needs is missing.
     fn require_addresses(self) -> Result<Self> {
         let no_platform = self.platform.is_none();
         match &self.command {
@@ -93,7 +93,7 @@
     }
 }
 
-/// With a workspace, what decides there; else what happened to a request.
+/// With `--workspace`, explains the values in effect for it; else what happened to a request.
 fn explain(args: &mut Arguments) -> Result<Command> {
     if let Some(workspace) = args.opt_value_from_str("--workspace")? {
         let pipeline = args.value_from_str("--pipeline")?;
--- a/bins/siskinwheel/src/run.rs
+++ b/bins/siskinwheel/src/run.rs
@@ -1,4 +1,4 @@
-//! Runs one command and prints what it gives.
+//! Runs one command and prints its report.
 
 use anyhow::{Context, Result};
 use base::{Clock, Generation, Ms, SystemClock};
@@ -18,7 +18,7 @@
 
 use crate::args::{Command, Note, Options};
 
-/// Silence after which a call to the platform is given up on, ms.
+/// Time without a response after which a call to the platform fails.
 const PLATFORM_TIMEOUT: Ms = Ms::secs(2);
 
 /// Runs the command.
@@ -53,7 +53,7 @@
         Command::Apply { file, note, from, wait } => {
             let accepted = apply(options, &read(file)?, note.at(now), *from, *wait).await?;
             let whole = accepted.reach.as_ref().is_none_or(Rollout::is_complete);
-            options.print(&accepted, if whole { Exit::Done } else { Exit::NotInForce })
+            options.print(&accepted, if whole { Exit::Done } else { Exit::Waiting })
         }
         Command::Show => {
             let o = options.source()?.fleet().await?;
@@ -99,7 +99,8 @@
     let differences = Differences::of(yaml, &object)?;
     let mut accepted = Accepted { applied: None, differences, reach: None };
     if !accepted.differences.is_empty() {
-        // What is printed as changed must be what is changed, so a later generation is a race.
+        // The printed differences must be those that are written, so the write is conditional on
+        // the generation that they were computed from.
         let from = from.or(ctl::header_generation(yaml)).unwrap_or(accepted.differences.generation);
         accepted.applied = Some(ctl::apply(&*api, yaml, Some(from), &note).await?);
     }
@@ -155,7 +156,7 @@
             false => report.to_string(),
         };
         match writeln!(std::io::stdout().lock(), "{text}") {
-            // Whoever reads has seen enough, as in `| head`.
+            // The reader closed the pipe early, as `| head` does.
             Err(err) if err.kind() == ErrorKind::BrokenPipe => Ok(exit),
             written => written.context("printing the report").map(|()| exit),
         }
@@ -168,7 +169,7 @@
     }
 }
 
-/// Logs by the names of their files; standard input where none is named.
+/// Reads the log files as pairs of name and text; without files, reads standard input.
 fn logs(files: &[PathBuf]) -> Result<Vec<(String, String)>> {
     if files.is_empty() {
         let text = std::io::read_to_string(std::io::stdin()).context("reading the logs")?;
--- a/bins/siskinwheel/tests/suite/commands.rs
+++ b/bins/siskinwheel/tests/suite/commands.rs
@@ -1,9 +1,9 @@
-//! What the commands print and how they exit, over the stand-in of the platform.
+//! Output and exit codes of the commands, with a fake platform.
 
 use crate::env::{self, Env};
 use fakes::PlatformFaults;
 
-/// From an empty platform to a change that is in force, as an operator goes.
+/// The usual commands of an operator, from an empty platform to a change in force.
 #[test]
 fn a_change_is_checked_compared_applied_and_listed() {
     let env = Env::start();
@@ -27,7 +27,7 @@
     insta::assert_snapshot!("status", env.run(&["status", env.platform(), env.host()]));
 }
 
-/// Both took generation 1 from `show`; Bob is second and sees Ada's change.
+/// Ada and Bob both start from generation 1. Bob applies second and is shown Ada's change.
 #[test]
 fn the_second_of_two_operators_sees_the_first_ones_change() {
     let env = Env::start();
@@ -41,7 +41,7 @@
     assert!(rebased.starts_with("exit 0"), "{rebased}");
 }
 
-/// What `apply --wait` says when one of three hosts doesn't take the change in time.
+/// Output of `apply --wait` when one of three hosts doesn't have the change in time.
 #[test]
 fn a_lagging_host_is_reported() {
     let env = Env::start();
@@ -108,7 +108,8 @@
     assert!(env.run(&["check", "no-such-file.yaml"]).starts_with("exit 1"));
 }
 
-/// The platform is out. Changes say that nothing changed; questions are answered by a host.
+/// While the platform is down, changes report that nothing changed, and queries are answered by a
+/// host.
 #[test]
 fn in_an_outage_hosts_answer_and_changes_fail() {
     let env = Env::start();
@@ -124,8 +125,8 @@
     assert!(env.run(&["show", "--host=127.0.0.1:1"]).starts_with("exit 1"));
 }
 
-/// The answer to the write is lost and the platform is out from then on: exit 6, with the change
-/// to look for; never "failed", since it took effect.
+/// The response to the write is lost and the platform is down from then on. The exit code is 6, with
+/// the change's id to look for, and not that of a failure, since the write took effect.
 #[test]
 fn an_unknown_outcome_has_its_own_exit_code() {
     let env = Env::start();
--- a/bins/siskinwheel/tests/suite/env/mod.rs
+++ b/bins/siskinwheel/tests/suite/env/mod.rs
@@ -1,5 +1,5 @@
-//! A platform and a host's admin endpoint in the test's process; the program as a process of its
-//! own.
+//! Test environment: a fake platform and a host's admin endpoint run in the test's process, the
+//! program in a process of its own.
 
 use base::Ms;
 use fakes::{Platform, PlatformFaults};
@@ -15,12 +15,12 @@
 use tokio::runtime::Runtime;
 use wire::{FleetObject, Member, MemberList};
 
-/// A small configuration whose workspace has this weight.
+/// A small configuration whose workspace has the given weight.
 pub fn yaml(weight: u32) -> String {
     include_str!("small.yaml").replace("weight: 1", &format!("weight: {weight}"))
 }
 
-/// What a test needs.
+/// Test environment with the options to reach its servers.
 pub struct Env {
     runtime: Runtime,
     platform: Platform,
@@ -30,7 +30,7 @@
 }
 
 impl Env {
-    /// Starts it on free ports.
+    /// Starts the servers on free ports.
     pub fn start() -> Self {
         let runtime = Runtime::new().expect("a runtime");
         let platform = runtime.block_on(Platform::start(local())).expect("a free port");
@@ -63,7 +63,7 @@
         &self.args[1]
     }
 
-    /// The option that names what stands before the platform.
+    /// The option that names the proxy in front of the platform.
     pub fn proxy(&self) -> &str {
         &self.args[2]
     }
@@ -73,13 +73,13 @@
         self.platform.set_faults(faults);
     }
 
-    /// The next write through the proxy takes effect without an answer, and all that
-    /// comes after it fails.
+    /// The next write through the proxy takes effect, but its response is lost, and all later calls
+    /// fail.
     pub fn lose_write_then_down(&self) {
         self.lose_write.store(true, Ordering::Relaxed);
     }
 
-    /// Writes a file and gives its path.
+    /// Writes a file and returns its path.
     pub fn file(&self, name: &str, text: &str) -> String {
         let path = self.dir.join(name);
         std::fs::write(&path, text).expect("the file can be written");
@@ -93,8 +93,8 @@
         assert!(output.starts_with("exit 0"), "{output}");
     }
 
-    /// Runs the program; gives its exit code and what it printed, with ids, times and paths
-    /// replaced.
+    /// Runs the program and returns its exit code and output, with ids, times and paths replaced by
+    /// placeholders.
     pub fn run(&self, args: &[&str]) -> String {
         let program = env!("CARGO_BIN_EXE_siskinwheel");
         let output = Command::new(program).args(args).output().expect("it runs");
@@ -110,13 +110,13 @@
 
 impl Drop for Env {
     fn drop(&mut self) {
-        // What is left is in the target directory.
+        // Files that can't be removed stay in cargo's target directory.
         let _ = std::fs::remove_dir_all(&self.dir);
         self.runtime.block_on(async {});
     }
 }
 
-/// The text with ids and times replaced by words.
+/// Replaces ids and times by placeholders.
 pub fn normalize(text: &str) -> String {
     let mut out = text.to_owned();
     replace(&mut out, 36, "CHANGE", is_uuid);
@@ -159,15 +159,15 @@
     addr
 }
 
-/// A host's admin endpoint. It knows three hosts, of which one stays at generation 2, and has
-/// what the platform had first.
+/// A host's admin endpoint. It knows three hosts, one of which stays at generation 2, and serves the
+/// first configuration.
 struct Host {
     platform: SocketAddr,
 }
 
 impl Host {
     async fn fleet(&self) -> FleetObject {
-        // Not over HTTP in an outage: what a host has it keeps.
+        // Not read from the platform: a host keeps its configuration during an outage.
         FleetObject {
             generation: 1,
             config: yaml(1),
@@ -214,8 +214,8 @@
     }
 }
 
-/// Hands calls on to the platform; once output to, it loses the next write's answer and fails
-/// from then on.
+/// Forwards calls to the platform. Once `lose_write` is set, it drops the response to the next write
+/// and fails all calls from then on.
 struct Proxy {
     platform: SocketAddr,
     lose_write: Arc<AtomicBool>,
--- a/bins/siskinwheel/tests/suite/main.rs
+++ b/bins/siskinwheel/tests/suite/main.rs
@@ -1,4 +1,4 @@
-//! The program as operators run it.
+//! Tests of the program as operators run it.
 
 mod commands;
 mod env;
--- a/bins/siskinwheel/tests/suite/pages.rs
+++ b/bins/siskinwheel/tests/suite/pages.rs
@@ -1,5 +1,5 @@
-//! The commands in docs/OPERATIONS.md, run as written and in order on a running fleet, print what
-//! the page says.
+//! Runs the commands in docs/OPERATIONS.md in order against a local cluster, and compares their
+//! output with that on the page.
 
 use conf::Fleet;
 use local::{Cluster, Options};
@@ -12,7 +12,8 @@
 const FLEET: &str = include_str!("../../../../examples/cooperative.yaml");
 const HOST: &str = include_str!("../../../../examples/host.yaml");
 
-/// Each line of a code block that begins with `$ `, and what the page says it prints.
+/// The commands on the page, which are the lines in code blocks that begin with `$ `, each with the
+/// output on the page.
 fn commands() -> Vec<(String, String)> {
     let mut out: Vec<(String, String)> = Vec::new();
     let (mut code, mut open, mut more) = (false, false, false);
--- a/bins/siskinwheel/tests/suite/usage.rs
+++ b/bins/siskinwheel/tests/suite/usage.rs
@@ -1,4 +1,4 @@
-//! The program explains itself, and refuses what it doesn't know.
+//! Help, wrong usage and a closed output pipe.
 
 use std::process::Command;
 
@@ -15,8 +15,8 @@
     assert_eq!(run(&["no-such-command"]).status.code(), Some(2));
 }
 
-// An operator sees a panic with a backtrace in place of two lines: `head` has read what it wants
-// and goes while the report is still being printed.
+// `head` exits after the lines it needs while the report is still being printed. Without handling
+// of the closed pipe the operator sees a panic with a backtrace instead of the lines.
 #[test]
 fn a_closed_output_pipe_is_not_a_failure() {
     use std::process::{Command, Stdio};
--- a/crates/ctl/src/account.rs
+++ b/crates/ctl/src/account.rs
@@ -1,4 +1,4 @@
-//! Where late requests lost their time, from the log lines of all hosts.
+//! Attributes the delay of late requests to causes, from the log lines of all hosts.
 
 use serde::Serialize;
 use serde_json::{Map, Value};
@@ -11,20 +11,20 @@
 #[derive(Clone, Copy, Debug, PartialEq, Eq, PartialOrd, Ord, Hash, Serialize)]
 #[serde(rename_all = "snake_case")]
 pub enum Cause {
-    /// Results that its stages read were gone, and were made again.
+    /// Results that its stages read were lost and had to be computed again.
     Redone,
-    /// More than one target got it.
+    /// It was sent to more than one target.
     SentAgain,
-    /// Its stages took longer than those of requests on time.
+    /// Its stages exceeded the median of on-time requests by more than its engine did.
     Stages,
-    /// Its engine took longer to its first event.
+    /// Its engine took longer to send the first event.
     Engine,
-    /// Its target took longer; it has no stages.
+    /// Its target took longer; the request has no stages.
     Target,
 }
 
 impl Cause {
-    /// All, in the order of the table's columns.
+    /// All causes, in the order of the table's columns.
     pub const ALL: [Self; 5] =
         [Self::Redone, Self::SentAgain, Self::Stages, Self::Engine, Self::Target];
 
@@ -42,34 +42,35 @@
 /// Requests of one route.
 #[derive(Clone, Debug, Default, PartialEq, Serialize)]
 pub struct RouteAccount {
-    /// Served, late ones included.
+    /// Number of served requests, including late ones.
     pub served: u64,
-    /// Served after their aim.
+    /// Number of requests served after the time they aimed at.
     pub late: u64,
-    /// Late ones by their cause.
+    /// Late requests by cause.
     pub causes: BTreeMap<Cause, u64>,
-    /// Time to the end of the stages, ms, median of those on time and of the late.
+    /// Time to the end of the stages, ms: medians of the on-time and of the late requests.
     pub stages_ms: (u64, u64),
-    /// Time from there to the first event or the answer, ms, likewise.
+    /// Time from the end of the stages to the first event or the answer, ms: medians of the on-time
+    /// and of the late requests.
     pub target_ms: (u64, u64),
-    /// Late ones by the span of ten seconds in which they ended, as the hosts' clocks had it.
+    /// Late requests by the interval of ten seconds in which they ended, by the hosts' clocks.
     pub spans: BTreeMap<String, u64>,
 }
 
-/// All requests of the logs.
+/// Summary of all requests in the logs.
 #[derive(Clone, Debug, Default, PartialEq, Serialize)]
 pub struct Account {
     /// By route.
     pub routes: BTreeMap<String, RouteAccount>,
-    /// Requests that were refused or given up on, by reason.
+    /// Requests that were rejected or abandoned, by reason.
     pub refused: BTreeMap<String, u64>,
     /// Stages that failed, by fault.
     pub failed: BTreeMap<String, u64>,
-    /// Callers that left before their answer or in its middle.
+    /// Clients that disconnected before or during their answer.
     pub left: u64,
 }
 
-/// A served request.
+/// A `RequestServed` log line.
 struct Served {
     request: String,
     route: String,
@@ -82,10 +83,10 @@
     span: String,
 }
 
-/// Length of a time as far as tens of seconds: `2026-12-03T04:36:2`.
+/// Length of a timestamp cut after the tens of seconds, such as `2026-12-03T04:36:2`.
 const SPAN_CHARS: usize = 18;
 
-/// Adds up the lines of all hosts. Lines of other programs are passed over.
+/// Summarizes the log lines of all hosts. Lines of other programs are skipped.
 pub fn account<'a>(lines: impl Iterator<Item = &'a str>) -> Account {
     let mut account = Account::default();
     let mut served = Vec::new();
@@ -164,7 +165,8 @@
         *causes.entry(cause).or_default() += 1;
         *spans.entry(request.span.clone()).or_default() += 1;
     }
-    // A sampled line stands for several; each late one is written.
+    // Lines of on-time requests are sampled and each stands for several requests; every late
+    // request is logged.
     let served = requests.iter().map(|r| r.stands_for).sum::<u64>().max(late.len() as u64);
     RouteAccount { served, late: late.len() as u64, causes, stages_ms, target_ms, spans }
 }
--- a/crates/ctl/src/apply.rs
+++ b/crates/ctl/src/apply.rs
@@ -1,4 +1,4 @@
-//! Changing the configuration in force.
+//! Changes the configuration in force by conditional writes to the platform.
 
 use base::{ChangeId, Generation, Ms, Version};
 use conf::{Fleet, Plan};
@@ -10,32 +10,32 @@
 use crate::audit::move_to_pages;
 use crate::{CtlError, diff};
 
-/// Kind and name of the configuration's object.
-const OBJECT: (&str, &str) = ("fleet", "fleet");
-/// Most characters of an operator's name.
+/// Kind and name of the configuration object.
+const FLEET_OBJECT: (&str, &str) = ("fleet", "fleet");
+/// Maximum length of an operator's name.
 const MAX_WHO_CHARS: usize = 100;
-/// Most characters of a reason.
+/// Maximum length of a reason.
 const MAX_WHY_CHARS: usize = 500;
-/// Most fields that an audit record names; a change of more is told by their count.
+/// Maximum number of fields that an audit record lists; the others are only counted.
 const MAX_RECORD_FIELDS: usize = 20;
-/// Most characters of one field in an audit record.
+/// Maximum length of one field's text in an audit record.
 const MAX_FIELD_CHARS: usize = 160;
-/// First line of a configuration that `show` gives: the generation that it was read from.
+/// Start of the first line of a configuration printed by `show`; the generation follows it.
 const GENERATION_HEADER: &str = "# generation: ";
 
-/// Who changes, why and when.
+/// Who makes a change, why and when.
 #[derive(Clone, Debug)]
 pub struct ChangeNote<'a> {
     /// The operator.
     pub who: &'a str,
     /// The reason.
     pub why: &'a str,
-    /// The operator's clock.
+    /// Time by the operator's clock.
     pub at: Ms,
 }
 
 impl ChangeNote<'_> {
-    /// Insists on a name and a reason, each of a length that keeps the audit trail small.
+    /// Requires a name and a reason, each with a maximum length that keeps the audit trail small.
     pub(crate) fn check(&self) -> Result<(), CtlError> {
         let valid = |text: &str, most| !text.trim().is_empty() && text.chars().count() <= most;
         match () {
@@ -53,46 +53,47 @@
 /// An accepted change.
 #[derive(Clone, Debug, PartialEq, Eq, Serialize)]
 pub struct Applied {
-    /// The generation that is now accepted.
+    /// The generation that the change created.
     pub generation: Generation,
-    /// The change's id, as the audit trail has it.
+    /// Id of the change, as recorded in the audit trail.
     pub change: ChangeId,
 }
 
-/// One write: its id, and how long it is asked after while its outcome is open.
+/// Id of one write, and how long it is retried while its outcome is unknown.
 #[derive(Clone, Copy, Debug)]
 pub struct WriteOptions {
-    /// The change's id, by which the writer knows its own write again. Never used twice.
+    /// Id of the change, by which the writer recognizes its own write. Must be unique.
     pub change: ChangeId,
-    /// No new try of the write and the reading back begins after this, ms.
+    /// Time after which no further attempt to write and read back is started.
     pub retry_for: Ms,
-    /// Time between two tries, ms.
+    /// Time between two attempts.
     pub retry_pause: Ms,
 }
 
 impl WriteOptions {
-    /// A fresh id and five seconds: an outage of a moment is waited out, and an operator isn't
-    /// left hanging.
+    /// A new id and retries for five seconds: long enough to outlast a short outage, short enough
+    /// for an operator to wait.
     pub fn fresh() -> Self {
         Self { change: ChangeId::fresh(), retry_for: Ms::secs(5), retry_pause: Ms(250) }
     }
 }
 
-/// The configuration object as it is, and its version; empty at version zero before the first.
+/// The current configuration object and its version. Before the first change the object is empty
+/// and the version zero.
 pub async fn read_fleet(api: &dyn Api) -> Result<(Version, FleetObject), CtlError> {
-    match api.get(OBJECT.0, OBJECT.1).await? {
+    match api.get(FLEET_OBJECT.0, FLEET_OBJECT.1).await? {
         Some(object) => Ok((Version(object.version), serde_json::from_str(&object.body)?)),
         None => Ok((Version(0), FleetObject::default())),
     }
 }
 
-/// The generation that a configuration's first line says it was read from.
+/// The generation in the first line of a configuration, from which it was read.
 pub fn header_generation(yaml: &str) -> Option<Generation> {
     let line = yaml.lines().next()?.strip_prefix(GENERATION_HEADER)?;
     line.trim().parse().ok().map(Generation)
 }
 
-/// A configuration with a first line that says which generation it is.
+/// Adds or replaces the first line of a configuration that names its generation.
 pub fn with_generation_header(yaml: &str, generation: Generation) -> String {
     let rest = match header_generation(yaml) {
         Some(_) => yaml.split_once('\n').map_or("", |(_, rest)| rest),
@@ -101,8 +102,7 @@
     format!("{GENERATION_HEADER}{generation}\n{rest}")
 }
 
-/// Checks `yaml` and puts it in the place of generation `from`, with its audit record in the
-/// same write.
+/// Checks `yaml` and replaces generation `from` by it, with the audit record in the same write.
 pub async fn apply(
     api: &dyn Api,
     yaml: &str,
@@ -112,7 +112,7 @@
     apply_within(api, yaml, from, note, WriteOptions::fresh()).await
 }
 
-/// As [`apply`], with an id of the caller's and a bound on how long a lost answer is asked after.
+/// Like [`apply`], with a change id and retry limits given by the caller.
 pub async fn apply_within(
     api: &dyn Api,
     yaml: &str,
@@ -145,8 +145,13 @@
     object.change = change.to_string();
     object.config = yaml.to_owned();
     let body = serde_json::to_string(&object)?;
-    let write =
-        Change { kind: OBJECT.0, name: OBJECT.1, expected: version, id: change, body: &body };
+    let write = Change {
+        kind: FLEET_OBJECT.0,
+        name: FLEET_OBJECT.1,
+        expected: version,
+        id: change,
+        body: &body,
+    };
     match write_with_retry(api, write, options).await? {
         Written::Done(_) => Ok(Applied { generation, change }),
         Written::Open => Err(CtlError::OutcomeUnknown { change }),
@@ -160,12 +165,14 @@
     }
 }
 
-/// Writes, and asks after a lost answer until it is found, or `settle` runs out.
+/// Writes, and retries while the outcome is unknown, until it is known or the time in `options` is
+/// over.
 ///
-/// Without this an operator who is told "failed" applies again, and the change stands twice in
-/// the trail, or comes back over a colleague's that was accepted in between. The change's id in
-/// the object tells the writer's own change from another's, also below newer ones; and each try
-/// is the same conditional write, which can take effect once only.
+/// If a lost response were reported as a failure, the operator would apply again, and the change
+/// would be recorded twice in the audit trail or would overwrite a colleague's change that was
+/// accepted in between. Retrying is safe: the change's id in the object distinguishes the writer's
+/// own change from others, even when newer changes follow it, and each attempt is the same
+/// conditional write, which can take effect only once.
 pub(crate) async fn write_with_retry(
     api: &dyn Api,
     write: Change<'_>,
@@ -176,8 +183,9 @@
     while result == Written::Open && Instant::now() < end {
         tokio::time::sleep(options.retry_pause.duration()).await;
         result = match store::write(api, write, is_own_write).await {
-            // Nothing of this round was written. But a conflict may be with the first round's own
-            // write, and a platform that is out now may have taken that one.
+            // This attempt wrote nothing, but an earlier one may have: a conflict may be with the
+            // earlier attempt's own write, and a platform that is down now may have accepted it
+            // before.
             Ok(Written::Lost { now: None }) | Err(_) => Written::Open,
             Ok(written) => written,
         };
@@ -194,7 +202,7 @@
     CtlError::Conflict { expected, now: Generation(object.generation), since }
 }
 
-/// What an audit record says about the fields: each with its old and new value, cut where long.
+/// The changed fields for an audit record, each with its old and new value, truncated if long.
 fn changed_fields(before: &str, after: &Fleet) -> Vec<String> {
     let Ok(before) = Fleet::parse(before) else { return vec!["first configuration".to_owned()] };
     let changes = diff(&before, after);
--- a/crates/ctl/src/audit.rs
+++ b/crates/ctl/src/audit.rs
@@ -1,10 +1,10 @@
-//! The audit trail: the newest records beside the configuration, older ones on pages.
+//! The audit trail: the newest records in the configuration object, older ones in page objects.
 //!
 //! A record is written by the same conditional write as its change, so neither exists without the
-//! other. That object is read by every host, so it must stay small: once it holds two pages of
-//! records, the older page goes into an object of its own. Pages hold a fixed count of
-//! generations, and generations have no gaps; so a page's name and content follow from its
-//! number, and any operator who writes it writes the same.
+//! other. Every host reads the configuration object, so it must stay small: once it holds two pages
+//! of records, the older page is moved to an object of its own. A page holds a fixed number of
+//! generations, and generations have no gaps, so a page's name and content follow from its number
+//! and all operators who write a page write the same content.
 
 use base::Version;
 use std::fmt::Write;
@@ -13,13 +13,13 @@
 
 use crate::{CtlError, format_utc};
 
-/// Kind of the pages' objects.
+/// Kind of the page objects.
 pub const AUDIT_KIND: &str = "audit";
-/// Records on a page.
+/// Records per page.
 pub const PAGE_RECORDS: usize = 32;
-/// Names of pages that the configuration's object lists.
+/// Maximum number of page names that the configuration object lists.
 const MAX_LISTED_PAGES: usize = 8;
-/// Tries to write one page whose answers are lost.
+/// Attempts to write a page while the responses are lost.
 const PUT_ATTEMPTS: u32 = 3;
 
 /// Name of a page; page 0 has the records of generations 1 to [`PAGE_RECORDS`].
@@ -27,11 +27,11 @@
     format!("page-{page:08}")
 }
 
-/// Moves records to pages until less than two pages are left.
+/// Moves records to pages until less than two pages of records are left.
 ///
-/// The page is written before the change that drops its records. A crash in between leaves them
-/// in both places, and the next operator finds the page there; the other way round they would be
-/// in neither.
+/// The page is written before the change that removes its records from the configuration object.
+/// A crash in between leaves them in both places, and the next operator's write of the page finds
+/// it there. In the reverse order a crash would lose the records.
 pub(crate) async fn move_to_pages(api: &dyn Api, object: &mut FleetObject) -> Result<(), CtlError> {
     while object.audit.len() >= 2 * PAGE_RECORDS {
         let name = page_name((object.audit[0].to - 1) / PAGE_RECORDS as u64);
@@ -49,7 +49,7 @@
     let body = serde_json::to_string(page)?;
     let mut result = api.put(AUDIT_KIND, name, Version(0), &body).await;
     for _ in 1..PUT_ATTEMPTS {
-        // The same write again can't take effect twice: it insists on a new object.
+        // Repeating the write is safe: it succeeds only if the object doesn't exist yet.
         if result == Err(StoreError::Doubt) {
             result = api.put(AUDIT_KIND, name, Version(0), &body).await;
         }
@@ -59,7 +59,7 @@
     match read_page(api, name).await? {
         Some(found) if found == *page => Ok(()),
         Some(_) => Err(CtlError::ForeignPage(name.to_owned())),
-        // An old read: the page is there, but can't be compared now.
+        // Stale read: the page exists, but can't be compared now.
         None => Err(err.into()),
     }
 }
@@ -71,7 +71,7 @@
     }
 }
 
-/// The newest `most` records, newest first, from `object` and as many pages as that takes.
+/// The newest `most` records, newest first, from `object` and as many pages as needed.
 pub async fn history(
     api: &dyn Api,
     object: &FleetObject,
@@ -89,7 +89,7 @@
     Ok(out)
 }
 
-/// Records as lines for people.
+/// Formats records as lines of text.
 pub(crate) fn format_records(records: &[Audit]) -> String {
     let mut out = String::new();
     for a in records {
--- a/crates/ctl/src/check.rs
+++ b/crates/ctl/src/check.rs
@@ -1,4 +1,4 @@
-//! Checking a file before it is used.
+//! Checks a file before it is applied.
 
 use base::{Generation, Ms};
 use conf::{Fault, FileKind, ParseError, Plan, Settings};
@@ -7,23 +7,23 @@
 
 use crate::CtlError;
 
-/// A file that can be used.
+/// Result of a check that found no faults.
 #[derive(Clone, Debug, PartialEq, Serialize)]
 pub struct Checked {
-    /// What the file declares, in a few words.
+    /// Short summary of what the file declares.
     pub summary: String,
-    /// What is likely not meant, though it can work.
+    /// Declarations that are valid but probably unintended.
     pub warnings: Vec<Finding>,
 }
 
 /// A fault or warning.
 #[derive(Clone, Debug, PartialEq, Eq, Serialize)]
 pub struct Finding {
-    /// Path of the field; empty where the text is no YAML of the right shape.
+    /// Path of the field; empty if the text is not YAML or doesn't have the expected structure.
     pub field: String,
-    /// Line in the file, from 1, where it is known.
+    /// Line in the file, counted from 1, if known.
     pub line: Option<u64>,
-    /// What is wrong and what to do.
+    /// Description of the fault and how to fix it.
     pub text: String,
 }
 
@@ -44,8 +44,8 @@
     }
 }
 
-/// Checks a file of the given kind, or of the kind that its fields tell. Ended exceptions are
-/// told as of `now`.
+/// Checks a file of the given kind, or else of the kind that its fields show. Exceptions that have
+/// ended at `now` give warnings.
 pub fn check(yaml: &str, kind: Option<FileKind>, now: Ms) -> Result<Checked, CtlError> {
     match kind.or_else(|| FileKind::of(yaml)) {
         Some(FileKind::Settings) => {
@@ -58,7 +58,7 @@
             let warnings = conf::warnings(&plan, yaml, now).iter().map(Finding::from).collect();
             Ok(Checked { summary: summary(&plan), warnings })
         }
-        // The parser says where the text stops being YAML.
+        // The parser's error has the line at which the text stops being valid YAML.
         None => match conf::Fleet::parse(yaml) {
             Err(err) if !is_yaml(yaml) => Err(err.into()),
             _ => Err(CtlError::FileKind),
--- a/crates/ctl/src/diff.rs
+++ b/crates/ctl/src/diff.rs
@@ -1,4 +1,4 @@
-//! What differs between two configurations, field by field.
+//! Compares two configurations field by field.
 
 use conf::Fleet;
 use serde::Serialize;
@@ -6,15 +6,15 @@
 use std::collections::{BTreeSet, HashMap};
 use std::fmt;
 
-/// One field that differs. Both sides missing is never given.
+/// One field that differs. At least one of the two values is present.
 #[derive(Clone, Debug, PartialEq, Serialize)]
 pub struct FieldChange {
     /// Path of the field: names of list entries joined by dots, such as
     /// `pipelines.sign-off.deadline_ms`.
     pub field: String,
-    /// Its value before; missing when it is new.
+    /// Old value; missing if the field was added.
     pub from: Option<Value>,
-    /// Its value after; missing when it is gone.
+    /// New value; missing if the field was removed.
     pub to: Option<Value>,
 }
 
@@ -29,7 +29,7 @@
     }
 }
 
-/// A value for people: texts without quotes, the rest as JSON.
+/// Displays a value for text output: strings without quotes, all else as JSON.
 struct Plain<'a>(&'a Value);
 
 impl fmt::Display for Plain<'_> {
@@ -41,11 +41,11 @@
     }
 }
 
-/// All fields that differ. Values are compared as they hold, so a default that is written out
-/// makes no difference.
+/// All fields that differ. Effective values are compared, so a default that is written out is not
+/// a difference.
 pub fn diff(from: &Fleet, to: &Fleet) -> Vec<FieldChange> {
     let mut out = Vec::new();
-    // A number that isn't one can't be written as JSON and was refused by the checks.
+    // NaN can't be represented in JSON, but validation has rejected it.
     let from = serde_json::to_value(from).unwrap_or_default();
     let to = serde_json::to_value(to).unwrap_or_default();
     compare("", Some(&from), Some(&to), &mut out);
@@ -78,8 +78,8 @@
     }
 }
 
-/// Lists whose entries have names are compared by name, so that a new entry at the front isn't
-/// told as a change of all.
+/// Compares lists of named entries by name, so that a new entry at the front isn't reported as a
+/// change of every entry.
 fn compare_lists(path: &str, a: &[Value], b: &[Value], out: &mut Vec<FieldChange>) {
     let (before, after) = (by_name(a), by_name(b));
     for item in a {
@@ -96,7 +96,7 @@
         let both = list.iter().filter_map(name).filter(|key| other.contains_key(key));
         both.map(Value::from).collect()
     };
-    // The order decides: of stages, and among exceptions that fit equally.
+    // The order has a meaning for stages, and for exceptions that match equally well.
     let (from, to) = (order(a, &after), order(b, &before));
     if from != to {
         let field = format!("{path} (order)");
--- a/crates/ctl/src/error.rs
+++ b/crates/ctl/src/error.rs
@@ -1,4 +1,4 @@
-//! Why a command failed.
+//! Errors of the operator's commands.
 
 use base::{ChangeId, Generation};
 use conf::ParseError;
@@ -14,82 +14,84 @@
 /// A failed command.
 #[derive(Debug, Error)]
 pub enum CtlError {
-    /// The file can't be used.
+    /// The file doesn't parse or fails validation.
     #[error("the file can't be used:\n{0}")]
     Parse(#[from] ParseError),
-    /// A deploy file or an edge host's settings can't be used.
+    /// A deploy file or an edge host's settings file is invalid.
     #[error("{0}")]
     Unusable(String),
-    /// It can't be told what the file is.
+    /// The fields of the file don't show which kind of file it is.
     #[error(
         "neither settings (a field `host`) nor a configuration (a field `pipelines`); say which \
          with --settings or --fleet"
     )]
     FileKind,
-    /// Nobody, or no reason, is given for a change.
-    #[error("--{field} must be 1 to {most} characters; say {field} in a few words")]
+    /// The operator's name or the reason for a change is empty or too long.
+    #[error("--{field} must be 1 to {most} characters; give {field} in a few words")]
     InvalidNote {
         /// `who` or `why`.
         field: &'static str,
-        /// Most characters.
+        /// Maximum length, characters.
         most: usize,
     },
-    /// The platform failed.
-    #[error("the platform failed: {0}; nothing is known to have changed, look with `show`")]
+    /// A call to the platform failed.
+    #[error("the platform failed: {0}; nothing is known to have changed, check with `show`")]
     Store(#[from] StoreError),
-    /// Another operator was first.
+    /// Another operator's change was accepted first.
     #[error(
         "generation {now} is in force, not {expected}; nothing was changed. Since then:\n{}\n\
-         look with `diff`, take the others' changes into the file and apply again with --from \
+         compare with `diff`, merge the others' changes into the file and apply again with --from \
          {now}",
         format_records(.since)
     )]
     Conflict {
         /// What the change was based on.
         expected: Generation,
-        /// What is in force.
+        /// The generation in force.
         now: Generation,
-        /// What was accepted since, oldest first.
+        /// Changes accepted since `expected`, oldest first.
         since: Vec<Audit>,
     },
-    /// The platform answers with less than what the operator has seen.
+    /// The platform returned an older generation than the one the operator has already seen.
     #[error(
-        "the platform answers with generation {now}, older than {expected}: it gives old reads; \
-         nothing was changed, try again when it is whole, or correct --from"
+        "the platform returned generation {now}, older than {expected}: its reads are stale; \
+         nothing was changed, try again once it has recovered, or correct --from"
     )]
     Stale {
         /// What the change was based on.
         expected: Generation,
-        /// What the platform gave.
+        /// The generation that the platform returned.
         now: Generation,
     },
-    /// The write's outcome can't be told.
-    #[error("the platform's answer was lost; look with `history` whether change {change} is there")]
+    /// Whether the write took effect is unknown.
+    #[error(
+        "the platform's response was lost; check with `history` whether change {change} is there"
+    )]
     OutcomeUnknown {
         /// The change.
         change: ChangeId,
     },
-    /// A target's mark was changed by another operator in between.
-    #[error("another operator marked target '{0}' at the same time; look with `status`")]
+    /// Another operator changed the target's mark between the read and the write.
+    #[error("another operator marked target '{0}' at the same time; check with `status`")]
     MarkConflict(String),
-    /// The object in the platform makes no sense.
-    #[error("the configuration in the platform can't be read: {0}")]
+    /// An object in the platform doesn't parse.
+    #[error("the configuration in the platform is malformed: {0}")]
     Malformed(#[from] serde_json::Error),
-    /// An audit page holds other records than it should.
+    /// An audit page is missing or holds other records than the audit trail says.
     #[error(
-        "audit page {0} holds other records than the trail; nothing was changed: keep a copy of \
-         the page, then find out who writes to it beside this program"
+        "audit page {0} doesn't match the audit trail; nothing was changed: keep a copy of the \
+         page, then find out what else writes to it besides this program"
     )]
     ForeignPage(String),
-    /// Nothing was applied yet.
+    /// No configuration has been applied yet.
     #[error("no configuration is in force yet; give the first one with `apply`")]
     NoConfiguration,
-    /// A name that isn't declared.
-    #[error("{kind} '{name}' is not declared; look with `show`")]
+    /// The configuration doesn't declare the name.
+    #[error("{kind} '{name}' is not declared; check with `show`")]
     NotDeclared {
-        /// What kind of thing was looked for.
+        /// Kind of the declaration, such as `workspace`.
         kind: &'static str,
-        /// The name as given.
+        /// The name as given by the operator.
         name: String,
     },
     /// A host can't be reached.
@@ -97,15 +99,17 @@
     HostUnreachable {
         /// Its admin address.
         addr: SocketAddr,
-        /// Why not.
+        /// The connection's error.
         source: LinkError,
     },
-    /// A host's answer makes no sense.
-    #[error("host {addr} answered {path} with status {status}; give its admin address")]
+    /// A host returned an error status or a malformed body.
+    #[error(
+        "host {addr} answered {path} with status {status}; check that this is its admin address"
+    )]
     BadResponse {
         /// Its admin address.
         addr: SocketAddr,
-        /// What it was asked.
+        /// Path of the request.
         path: &'static str,
         /// HTTP status, zero when the body was malformed.
         status: u16,
@@ -113,14 +117,14 @@
 }
 
 impl CtlError {
-    /// The exit code that tells this failure.
+    /// The exit code for this error.
     pub fn exit(&self) -> Exit {
         match self {
-            Self::Parse(_) | Self::Unusable(_) | Self::FileKind => Exit::InvalidFile,
+            Self::Parse(_) | Self::Unusable(_) | Self::FileKind => Exit::Refused,
             Self::InvalidNote { .. } => Exit::Usage,
-            Self::Conflict { .. } | Self::MarkConflict(_) => Exit::Conflict,
-            Self::OutcomeUnknown { .. } => Exit::OutcomeUnknown,
-            Self::NotDeclared { .. } => Exit::NotDeclared,
+            Self::Conflict { .. } | Self::MarkConflict(_) => Exit::Raced,
+            Self::OutcomeUnknown { .. } => Exit::Open,
+            Self::NotDeclared { .. } => Exit::Unknown,
             Self::Store(_)
             | Self::Stale { .. }
             | Self::Malformed(_)
--- a/crates/ctl/src/exit.rs
+++ b/crates/ctl/src/exit.rs
@@ -1,4 +1,4 @@
-//! Exit codes, so that a script can tell what happened.
+//! Exit codes, by which scripts distinguish the outcomes of a command.
 
 use serde::Serialize;
 
@@ -9,23 +9,23 @@
 pub enum Exit {
     /// Done; `diff` found no differences.
     Done = 0,
-    /// Failed: a file can't be read, or the platform or host can't be reached. Nothing is known
-    /// to have changed.
+    /// A file can't be read, or the platform or a host can't be reached. Nothing is known to have
+    /// changed.
     Failed = 1,
     /// Wrong usage.
     Usage = 2,
-    /// The file can't be used.
-    InvalidFile = 3,
+    /// The file is invalid.
+    Refused = 3,
     /// `diff` found differences.
     Differs = 4,
-    /// Another operator was first; nothing was changed.
-    Conflict = 5,
-    /// The write's answer was lost and it can't be told yet whether it took effect.
-    OutcomeUnknown = 6,
-    /// Accepted, but not in force on all hosts within the wait.
-    NotInForce = 7,
+    /// Another operator's change was accepted first; nothing was changed.
+    Raced = 5,
+    /// The response to the write was lost, and whether it took effect is still unknown.
+    Open = 6,
+    /// Accepted, but not in force on all hosts before `--wait` ended.
+    Waiting = 7,
     /// The workspace, pipeline or target isn't declared.
-    NotDeclared = 8,
+    Unknown = 8,
 }
 
 impl From<Exit> for u8 {
--- a/crates/ctl/src/explain.rs
+++ b/crates/ctl/src/explain.rs
@@ -1,4 +1,4 @@
-//! Which declaration decides, and why.
+//! Explains which declaration determines each effective value, and why.
 
 use base::{Generation, Ms};
 use conf::{Exception, Plan, Source as Decider};
@@ -8,27 +8,27 @@
 
 use crate::{CtlError, format_utc};
 
-/// What effective for one workspace and pipeline.
+/// Effective values for one workspace and pipeline.
 #[derive(Clone, Debug, PartialEq, Serialize)]
 pub struct Explained {
-    /// Where it holds; zero for a file.
+    /// Generation of the configuration; zero for a file.
     pub generation: Generation,
-    /// The workspace.
+    /// Name of the workspace.
     pub workspace: String,
-    /// The pipeline.
+    /// Name of the pipeline.
     pub pipeline: String,
-    /// Each field with what decides it.
+    /// Each field with the declaration that sets it.
     pub fields: Vec<Decided>,
 }
 
-/// One field with what decides it.
+/// One field with the declaration that sets it.
 #[derive(Clone, Debug, PartialEq, Serialize)]
 pub struct Decided {
-    /// The field.
+    /// Name of the field.
     pub field: &'static str,
-    /// Its value.
+    /// Effective value.
     pub value: Value,
-    /// `default`, `pipeline`, `workspace` or `exception`.
+    /// What sets the value: `default`, `pipeline`, `workspace` or `exception`.
     pub by: &'static str,
     /// The exception's name.
     pub exception: Option<String>,
@@ -38,7 +38,7 @@
     pub until_ms: Option<u64>,
 }
 
-/// Says which default or exception decides at `now`.
+/// Determines which default or exception sets each value at `now`.
 pub fn explain(
     plan: &Plan,
     workspace: &str,
--- a/crates/ctl/src/host.rs
+++ b/crates/ctl/src/host.rs
@@ -1,4 +1,4 @@
-//! Asking hosts over their admin endpoints.
+//! Queries hosts over their admin endpoints.
 
 use base::Ms;
 use hyper::Request;
@@ -9,18 +9,19 @@
 
 use crate::CtlError;
 
-/// Silence after which a host is given up on, ms.
+/// Time without a response after which a call to a host fails.
 const HOST_TIMEOUT: Ms = Ms::secs(2);
-/// Largest answer that is read, bytes: a configuration object is at most a megabyte, and JSON
+/// Largest response body that is read. A configuration object is at most a megabyte, and JSON
 /// escapes may double it.
 const MAX_RESPONSE_BYTES: usize = 4 << 20;
 
-/// Hosts as one of them knows them.
+/// The member list of the host at `addr`.
 pub async fn members(addr: SocketAddr) -> Result<Vec<Member>, CtlError> {
     get::<MemberList>(addr, "/members").await.map(|list| list.members)
 }
 
-/// The configuration's object as a host has it: also in an outage of the platform.
+/// The configuration object that the host at `addr` has. Also available during an outage of the
+/// platform.
 pub async fn fleet(addr: SocketAddr) -> Result<FleetObject, CtlError> {
     get(addr, "/fleet").await
 }
--- a/crates/ctl/src/leave.rs
+++ b/crates/ctl/src/leave.rs
@@ -1,4 +1,4 @@
-//! Marking a target as leaving, or taking the mark back.
+//! Marks a target as leaving, or removes the mark.
 
 use base::{Ms, Version};
 use serde::Serialize;
@@ -10,19 +10,19 @@
 use crate::source::NOT_YET_CREATED;
 use crate::{ChangeNote, CtlError, WriteOptions, read_fleet};
 
-/// Kind of the marks' objects; each is named after its target.
+/// Kind of the stored marks; each object is named after its target.
 pub const LEAVING_KIND: &str = "leaving";
 
-/// A target's mark as it is now.
+/// State of a target's mark after a command.
 #[derive(Clone, Debug, PartialEq, Eq, Serialize)]
 pub struct Marked {
-    /// Which target.
+    /// Name of the target.
     pub target: String,
     /// Whether it is leaving.
     pub leaving: bool,
-    /// False when it stood so before.
+    /// False if the target was in this state before.
     pub changed: bool,
-    /// Since when, ms since the Unix epoch.
+    /// When it entered this state, ms since the Unix epoch.
     pub since_ms: u64,
 }
 
@@ -34,10 +34,10 @@
     }
 }
 
-/// Marks a declared target as leaving, or with `leaving` false takes the mark back.
+/// Marks a declared target as leaving, or removes the mark if `leaving` is false.
 ///
-/// A mark on a name that isn't declared would do nothing while the operator waits for the target
-/// to drain; so it is refused.
+/// A name that isn't declared is rejected: the mark would have no effect while the operator waits
+/// for the target to drain.
 pub async fn leave(
     api: &dyn Api,
     target: &str,
@@ -56,7 +56,8 @@
     let id = options.change;
     let mark = LeavingMark {
         target: target.to_owned(),
-        // Hosts take the higher one, so a mark must be above the last though this clock is behind.
+        // Hosts keep the mark with the highest time, so a new mark must be above the previous one
+        // even if this machine's clock is behind.
         since_ms: note.at.max(Ms(before.since_ms) + Ms(1)).0,
         leaving,
         change: id.to_string(),
@@ -92,7 +93,7 @@
     }
 }
 
-/// Names of the targets that are marked, in order.
+/// Names of the targets that are marked as leaving, sorted.
 pub async fn marked(api: &dyn Api) -> Result<Vec<String>, CtlError> {
     let mut names = Vec::new();
     for object in api.list(LEAVING_KIND).await?.objects {
--- a/crates/ctl/src/lib.rs
+++ b/crates/ctl/src/lib.rs
@@ -1,4 +1,5 @@
-//! What the operator's command line does: checks, changes and questions about the configuration.
+//! The operations behind the operator's command line: checking, changing and inspecting the
+//! configuration.
 
 mod account;
 mod apply;
--- a/crates/ctl/src/report.rs
+++ b/crates/ctl/src/report.rs
@@ -1,4 +1,4 @@
-//! What commands print: one text for people, and the same facts as JSON.
+//! Reports that commands print, as text or as JSON with the same content.
 
 use base::Generation;
 use conf::{Fleet, Plan};
@@ -10,10 +10,10 @@
 use crate::check::{Finding, findings};
 use crate::{Applied, CtlError, Exit, FieldChange, Rollout, diff, with_generation_header};
 
-/// What differs between a file and what is in force.
+/// Differences between a file and the configuration in force.
 #[derive(Clone, Debug, PartialEq, Serialize)]
 pub struct Differences {
-    /// What the file was compared with; zero when nothing is in force yet.
+    /// Generation that the file was compared with; zero if none is in force yet.
     pub generation: Generation,
     /// Each field that differs.
     pub changes: Vec<FieldChange>,
@@ -48,19 +48,20 @@
     }
 }
 
-/// An accepted change, and how far it came into force.
+/// Result of applying a file, and on how many hosts it is in force.
 #[derive(Clone, Debug, PartialEq, Serialize)]
 pub struct Accepted {
-    /// The change; missing when the file holds what is in force, so that nothing was written.
+    /// The change; missing if the file equals the configuration in force, so that nothing was
+    /// written.
     pub applied: Option<Applied>,
-    /// What it changed.
+    /// The fields that it changed.
     pub differences: Differences,
-    /// How far it is in force; missing when that wasn't waited for.
+    /// On how many hosts it is in force; missing if the command didn't wait for that.
     pub reach: Option<Rollout>,
 }
 
 impl Accepted {
-    /// The generation that holds what the file says.
+    /// The generation whose content equals the file.
     pub fn generation(&self) -> Generation {
         self.applied.as_ref().map_or(self.differences.generation, |a| a.generation)
     }
@@ -83,9 +84,9 @@
 /// The configuration in force.
 #[derive(Clone, Debug, PartialEq, Serialize)]
 pub struct Shown {
-    /// Which one it is.
+    /// Its generation.
     pub generation: Generation,
-    /// The change that brought it.
+    /// Id of the change that created it.
     pub change: String,
     /// The YAML.
     pub config: String,
@@ -110,21 +111,21 @@
     }
 }
 
-/// A failure, for machines.
+/// A failed command, as printed with `--json`.
 #[derive(Clone, Debug, PartialEq, Serialize)]
 pub struct Failure {
     /// The exit code.
     pub exit: Exit,
-    /// What failed and what to do.
+    /// What failed and how to proceed.
     pub error: String,
     /// Faults of the file.
     pub faults: Vec<Finding>,
-    /// What others changed meanwhile, oldest first.
+    /// Changes that other operators made in the meantime, oldest first.
     pub since: Vec<Audit>,
 }
 
 impl Failure {
-    /// A failure outside of the library, such as a file that can't be read.
+    /// A failure outside this library, such as a file that can't be read.
     pub fn plain(error: String) -> Self {
         Self { exit: Exit::Failed, error, faults: Vec::new(), since: Vec::new() }
     }
--- a/crates/ctl/src/source.rs
+++ b/crates/ctl/src/source.rs
@@ -1,4 +1,4 @@
-//! Where the configuration is read: from the platform, or in an outage from a host.
+//! Reads the configuration from the platform or, during an outage of the platform, from a host.
 
 use base::{DomainId, Generation, Version};
 use std::net::SocketAddr;
@@ -8,16 +8,16 @@
 
 use crate::{CtlError, history, host, read_fleet};
 
-/// Where to read.
+/// Where the configuration is read from.
 pub enum Source {
-    /// The platform: what is accepted.
+    /// The platform, which has the accepted configuration.
     Platform(Arc<dyn Api>),
-    /// Hosts, by admin address, the first that answers: what is in force there.
+    /// Hosts, by admin address. The first one that answers gives the configuration in force there.
     Hosts(Vec<SocketAddr>),
 }
 
 impl Source {
-    /// The configuration's object.
+    /// Reads the configuration object.
     pub async fn fleet(&self) -> Result<FleetObject, CtlError> {
         let object = match self {
             Self::Platform(api) => read_fleet(api.as_ref()).await?.1,
@@ -29,8 +29,8 @@
         }
     }
 
-    /// The newest `most` audit records, newest first. From a host there are only those that
-    /// travel with the configuration.
+    /// The newest `most` audit records, newest first. A host has only those that are stored in the
+    /// configuration object.
     pub async fn history(&self, most: usize) -> Result<Vec<Audit>, CtlError> {
         let object = self.fleet().await?;
         match self {
@@ -40,7 +40,7 @@
     }
 }
 
-/// Failure domains that the configuration of `object` declares; none when it can't be read.
+/// Failure domains that the configuration of `object` declares; empty if it doesn't parse.
 pub fn domains(object: &FleetObject) -> Vec<DomainId> {
     let fleet = conf::Fleet::parse(&object.config);
     let regions = fleet.map(|f| f.regions).unwrap_or_default();
@@ -58,5 +58,5 @@
     Err(last)
 }
 
-/// Version zero: an object that must not exist yet.
+/// The version that a write expects of an object that must not exist yet.
 pub(crate) const NOT_YET_CREATED: Version = Version(0);
--- a/crates/ctl/src/status.rs
+++ b/crates/ctl/src/status.rs
@@ -1,4 +1,4 @@
-//! Hosts, and what is in force on them.
+//! Reports the hosts and the generation in force on each of them.
 
 use base::{DomainId, Generation, Ms};
 use serde::Serialize;
@@ -10,19 +10,19 @@
 
 use crate::{CtlError, host};
 
-/// Time between two looks at the hosts, ms.
+/// Time between two polls of the hosts.
 const POLL_INTERVAL: Ms = Ms(200);
 
-/// What is in force in one failure domain.
+/// Rollout of a generation in one failure domain.
 #[derive(Clone, Debug, Default, PartialEq, Eq, Serialize)]
 pub struct DomainRollout {
-    /// Its hosts that take requests.
+    /// Hosts of the domain that accept requests.
     pub hosts: usize,
-    /// Those of them that have the generation in force, or a higher one.
+    /// Hosts among them on which the generation or a higher one is in force.
     pub reached: usize,
 }
 
-/// On how many hosts of which failure domains a generation is in force.
+/// Number of hosts on which a generation is in force, by failure domain.
 #[derive(Clone, Debug, PartialEq, Eq, Serialize)]
 pub struct Rollout {
     /// The generation.
@@ -32,10 +32,11 @@
 }
 
 impl Rollout {
-    /// Counts members; stopping hosts are left out, for they take nothing new.
+    /// Counts members. Stopping hosts are left out because they accept no new requests.
     ///
-    /// `declared` are the configuration's failure domains. One without a host is counted too: a
-    /// host that is cut off knows only its own domain, and its word alone would pass for all.
+    /// `declared` lists the configuration's failure domains. A domain without known hosts is listed
+    /// too and makes the rollout incomplete: a partitioned host knows only its own domain, and its
+    /// member list alone would otherwise pass for a complete rollout.
     pub fn of(generation: Generation, members: &[Member], declared: &[DomainId]) -> Self {
         let empty = |name: &DomainId| (name.to_string(), DomainRollout::default());
         let mut domains: BTreeMap<_, _> = declared.iter().map(empty).collect();
@@ -47,17 +48,18 @@
         Self { generation, domains }
     }
 
-    /// Hosts that take requests.
+    /// Number of hosts that accept requests.
     pub fn hosts(&self) -> usize {
         self.domains.values().map(|d| d.hosts).sum()
     }
 
-    /// Hosts that have it in force.
+    /// Number of hosts on which the generation is in force.
     pub fn reached(&self) -> usize {
         self.domains.values().map(|d| d.reached).sum()
     }
 
-    /// Whether it is in force on all hosts, of which each failure domain has at least one.
+    /// Whether the generation is in force on all hosts and each failure domain has at least one
+    /// host.
     pub fn is_complete(&self) -> bool {
         self.hosts() > 0 && self.domains.values().all(|d| d.hosts > 0 && d.reached == d.hosts)
     }
@@ -77,8 +79,8 @@
     }
 }
 
-/// Members as several hosts know them; of each host the newest word. Hosts that don't answer are
-/// passed over, unless none does.
+/// Merges the member lists of several hosts, with the newest entry for each member. Hosts that
+/// don't answer are skipped; if none answers, the last error is returned.
 pub async fn all_members(hosts: &[SocketAddr]) -> Result<Vec<Member>, CtlError> {
     let mut newest = BTreeMap::<String, Member>::new();
     let mut result = Ok(());
@@ -108,8 +110,8 @@
     }
 }
 
-/// Waits until `generation` is in force on all hosts that `hosts` know of, at most `wait`; gives
-/// how far it came. `declared` are the configuration's failure domains.
+/// Waits at most `wait` until `generation` is in force on all hosts that `hosts` know of, and
+/// returns the last state of the rollout. `declared` lists the configuration's failure domains.
 pub async fn wait_in_force(
     hosts: &[SocketAddr],
     generation: Generation,
@@ -127,22 +129,22 @@
     }
 }
 
-/// What an operator sees at a glance.
+/// Overview of the fleet for the operator.
 #[derive(Clone, Debug, PartialEq, Serialize)]
 pub struct Status {
-    /// The newest accepted generation; missing when the platform wasn't asked.
+    /// The newest accepted generation; missing if the platform wasn't queried.
     pub accepted: Option<Generation>,
-    /// Targets that an operator marked as leaving; missing when the platform wasn't asked.
+    /// Targets that an operator marked as leaving; missing if the platform wasn't queried.
     pub leaving: Option<Vec<String>>,
-    /// How far the accepted generation, or else the highest one seen, is in force; missing when
-    /// no host was asked.
+    /// Rollout of the accepted generation, or else of the highest one that a host has; missing if
+    /// no host was queried.
     pub reach: Option<Rollout>,
-    /// The hosts; empty when none was asked.
+    /// The hosts; empty if none was queried.
     pub hosts: Vec<Member>,
 }
 
 impl Status {
-    /// Puts together what the platform and the hosts say.
+    /// Combines the answers of the platform and the hosts.
     pub fn new(
         accepted: Option<Generation>,
         leaving: Option<Vec<String>>,
--- a/crates/ctl/src/timeline.rs
+++ b/crates/ctl/src/timeline.rs
@@ -1,45 +1,47 @@
-//! What happened to one request, from the log lines of all hosts.
+//! Reconstructs what happened to one request from the log lines of all hosts.
 
 use serde::Serialize;
 use serde_json::{Map, Value};
 use std::fmt;
 
-/// Fields that every line has and that the story tells otherwise.
+/// Fields that every line has and that a step holds in fields of its own, or the timeline as a
+/// whole.
 const COMMON_FIELDS: [&str; 3] = ["event", "name", "request"];
 
 /// One step of a request.
 #[derive(Clone, Debug, PartialEq, Serialize)]
 pub struct Step {
-    /// When, as the host's clock had it.
+    /// Time of the line, by the host's clock.
     pub time: String,
-    /// Which host or file the line is from.
+    /// The host or file that the line is from.
     pub source: String,
     /// Number of the event.
     pub event: u64,
-    /// Its name.
+    /// Name of the event.
     pub name: String,
-    /// What the decision knew.
+    /// The event's other fields.
     pub fields: Map<String, Value>,
 }
 
-/// All steps of a request, in order.
+/// All steps of a request, sorted by time.
 #[derive(Clone, Debug, PartialEq, Serialize)]
 pub struct Timeline {
-    /// The request.
+    /// Id of the request.
     pub request: String,
-    /// What happened.
+    /// The steps, sorted by time.
     pub steps: Vec<Step>,
 }
 
-/// Reads the steps of a request from log lines; each comes with the name of its file. What stands
-/// before a line's JSON, such as a host's name, goes to its source. Other lines are passed over.
+/// Collects the steps of a request from log lines, given as pairs of file name and line. A line's
+/// source is the last word before its JSON, such as a host name, or else the file name. Lines of
+/// other requests and malformed lines are skipped.
 pub fn timeline<'a>(request: &str, lines: impl Iterator<Item = (&'a str, &'a str)>) -> Timeline {
     let mut steps: Vec<Step> = lines.filter_map(|(file, line)| step(request, file, line)).collect();
     steps.sort_by(|a, b| a.time.cmp(&b.time));
     Timeline { request: request.to_owned(), steps }
 }
 
-/// The JSON of a log line; what stands before it, such as a host's name, is left out.
+/// Parses the JSON of a log line; text before it, such as a host name, is ignored.
 pub(crate) fn json_line(line: &str) -> Option<Value> {
     serde_json::from_str(line.get(line.find('{')?..)?).ok()
 }
--- a/crates/ctl/src/timestamp.rs
+++ b/crates/ctl/src/timestamp.rs
@@ -1,21 +1,20 @@
-//! Points in time for people.
+//! Formats points in time for text output.
 
 use base::Ms;
 
-/// Seconds of a day.
-const DAY: u64 = 86_400;
+const DAY_SECS: u64 = 86_400;
 
-/// A point in time as `2026-12-02T23:15:00Z`. Whole seconds, in UTC.
+/// Formats a point in time as `2026-12-02T23:15:00Z`: in UTC, cut to whole seconds.
 pub fn format_utc(at: Ms) -> String {
     let secs = at.0 / 1000;
-    let (year, month, day) = date(secs / DAY);
-    let (hour, minute, second) = (secs % DAY / 3600, secs % 3600 / 60, secs % 60);
+    let (year, month, day) = date(secs / DAY_SECS);
+    let (hour, minute, second) = (secs % DAY_SECS / 3600, secs % 3600 / 60, secs % 60);
     format!("{year:04}-{month:02}-{day:02}T{hour:02}:{minute:02}:{second:02}Z")
 }
 
-/// Year, month and day of a count of days since 1970-01-01, in the Gregorian calendar.
+/// Converts days since 1970-01-01 to year, month and day in the Gregorian calendar.
 fn date(mut days: u64) -> (u64, u64, u64) {
-    // Whole cycles of 400 years at once; what is left takes at most 400 steps.
+    // Skips whole cycles of 400 years at once, so the loop runs at most 400 times.
     let mut year = 1970 + days / 146_097 * 400;
     days %= 146_097;
     while days >= year_days(year) {
--- a/crates/ctl/tests/suite/account.rs
+++ b/crates/ctl/tests/suite/account.rs
@@ -1,8 +1,9 @@
-//! Where late requests lost their time.
+//! Attribution of late requests to causes.
 
 use ctl::{Cause, account};
 
-/// A served request's line: its route, times, by how much it was late, and for how many it stands.
+/// The log line of a served request. `times` are the end of the stages and the first event in ms,
+/// and the number of runs; the line stands for `stands_for` requests.
 fn served(request: &str, route: &str, times: [u64; 3], late: u64, stands_for: u64) -> String {
     let [stages, first, runs] = times;
     format!(
--- a/crates/ctl/tests/suite/apply.rs
+++ b/crates/ctl/tests/suite/apply.rs
@@ -1,4 +1,4 @@
-//! Single failures of a change, call by call.
+//! Single changes with faults injected call by call.
 
 use crate::support::{Fault, MemoryPlatform, run, yaml};
 use base::{Generation, Ms, Version};
@@ -9,8 +9,8 @@
     ChangeNote { who: "ada", why, at: Ms(1000) }
 }
 
-/// The operator is told "accepted", and it is: the write took effect, its answer was lost, and
-/// reading back finds the change's id.
+/// The write takes effect, but its response is lost. Reading back finds the change's id, so the
+/// operator is correctly told that the change was accepted.
 #[test]
 fn a_write_whose_response_was_lost_is_found_again() {
     run(async {
@@ -23,8 +23,8 @@
     });
 }
 
-/// As above, but the platform is out for some seconds right after: the operator waits, and is
-/// told "accepted" once it is back.
+/// As above, but the platform is down for some seconds right afterwards. The command keeps retrying
+/// and reports the change as accepted once the platform is back.
 #[test]
 fn a_write_whose_response_was_lost_before_an_outage_is_found_again() {
     run(async {
@@ -38,8 +38,8 @@
     });
 }
 
-/// The write took effect, its answer was lost, and for a while nothing can be read. The next try
-/// meets a conflict, which is with that very write: the operator isn't told of a race.
+/// The write takes effect, its response is lost, and reads fail for a while. The next attempt
+/// conflicts with that first write, which must not be reported as a conflict with another operator.
 #[test]
 fn a_conflict_with_the_own_write_is_not_reported() {
     run(async {
@@ -54,7 +54,7 @@
     });
 }
 
-/// An outage before the write: the operator is told that nothing changed, and nothing did.
+/// The platform goes down before the write: the command fails and nothing is written.
 #[test]
 fn an_outage_changes_nothing() {
     run(async {
@@ -66,8 +66,8 @@
     });
 }
 
-/// The platform never answers the write and is out from then on: the operator is told that it
-/// is open, with the id to look for, and never "failed". It lands later.
+/// The platform never answers the write and is down from then on. The outcome is reported as
+/// unknown, with the change's id to look for, and not as a failure: the write takes effect later.
 #[test]
 fn an_unknown_outcome_is_reported_as_unknown() {
     run(async {
@@ -83,8 +83,8 @@
     });
 }
 
-/// Ada's write hangs on its way; the operator's second try of it lands, and then Bob's change.
-/// When Ada's first write arrives at last, its condition no longer holds, and Bob's change stays.
+/// Ada's write is delayed; its retry takes effect, and then Bob's change. When the delayed write
+/// arrives, its condition no longer holds, and Bob's change stays.
 #[test]
 fn a_delayed_write_cannot_land_over_a_newer_one() {
     run(async {
@@ -98,7 +98,8 @@
     });
 }
 
-/// Both read generation 1. One wins; the other is told what changed since, and changed nothing.
+/// Two operators start from generation 1. One change is accepted; the other operator is shown that
+/// change, and nothing of theirs is written.
 #[test]
 fn of_two_concurrent_changes_one_wins_and_the_other_sees_it() {
     run(async {
@@ -119,8 +120,8 @@
     });
 }
 
-/// A file that was read from generation 1 is applied when 3 is in force: refused, with both
-/// changes in between.
+/// A file based on generation 1 is applied while generation 3 is in force. It is rejected, and the
+/// error lists the two changes in between.
 #[test]
 fn an_old_file_is_refused() {
     run(async {
@@ -136,7 +137,7 @@
     });
 }
 
-/// The platform comes back with old content: the operator has seen generation 2, it gives 1.
+/// The platform returns old content: the operator has seen generation 2, the read gives 1.
 #[test]
 fn a_stale_read_is_distinguished_from_a_conflict() {
     run(async {
@@ -153,7 +154,7 @@
     });
 }
 
-/// A file that can't work changes nothing, and neither does a change without a reason.
+/// An invalid file writes nothing, and neither does a change without a valid name and reason.
 #[test]
 fn invalid_changes_are_not_written() {
     run(async {
@@ -168,8 +169,8 @@
     });
 }
 
-/// After some hundreds of changes the object that every host reads is as small as after some
-/// tens, and the trail is whole.
+/// The configuration object, which every host reads, never holds more than two pages of records
+/// however many changes were made, and the audit trail stays complete.
 #[test]
 fn old_audit_records_move_to_pages() {
     run(async {
@@ -191,8 +192,8 @@
     });
 }
 
-/// The operator's program dies between writing a page and the change that drops its records.
-/// The next change finds the page there, and no record is missing or doubled.
+/// The command dies after it wrote a page and before the change that removes the page's records.
+/// The next change finds the page there, and no record is missing or duplicated.
 #[test]
 fn a_crash_between_page_and_change_loses_nothing() {
     run(async {
@@ -213,7 +214,7 @@
     });
 }
 
-/// Something else wrote to a page: the change is refused rather than records being dropped.
+/// Something else has written the page: the change fails, since it would lose records.
 #[test]
 fn a_foreign_page_stops_the_change() {
     run(async {
@@ -230,7 +231,7 @@
     });
 }
 
-/// An audit record of a change of everything stays small.
+/// The audit record of a change of 500 workspaces lists 20 fields and the number of the others.
 #[test]
 fn the_size_of_an_audit_record_is_bounded() {
     run(async {
--- a/crates/ctl/tests/suite/diff.rs
+++ b/crates/ctl/tests/suite/diff.rs
@@ -1,4 +1,4 @@
-//! What differs, field by field.
+//! Comparing, checking and explaining configurations.
 
 use base::{Generation, Ms};
 use conf::{Fleet, Plan};
@@ -72,7 +72,7 @@
     assert_eq!(output, expected);
 }
 
-/// Before its end the exception decides, with its reason; after it the pipeline's own value.
+/// The exception sets the value until it ends; then the pipeline's own value applies.
 #[test]
 fn an_exception_decides_until_its_end() {
     let plan = Plan::parse(Generation(3), &yaml(4)).expect("it passes");
--- a/crates/ctl/tests/suite/fuzz.rs
+++ b/crates/ctl/tests/suite/fuzz.rs
@@ -1,9 +1,10 @@
-//! Several operators apply at once while the platform fails call by call, in virtual time.
+//! Several operators apply changes concurrently, in virtual time, while the platform fails call by
+//! call.
 //!
-//! The oracle: every write that accepted is one generation above the one before, and its trail is
-//! the earlier trail and one record; an operator who was told "accepted" finds that change once,
-//! under that generation; one who was told "nothing changed" finds nothing; one who was told that
-//! it is open finds it at most once.
+//! The checks: every accepted write is one generation above the previous one, and its audit trail
+//! is the previous trail with one more record. A change reported as accepted is recorded exactly
+//! once, under the reported generation; a change reported as not made is never recorded; a change
+//! with an unknown outcome is recorded at most once.
 
 use crate::support::{Fault, MemoryPlatform, run, yaml};
 use base::{ChangeId, Generation, Ms, Version};
@@ -15,8 +16,8 @@
 use store::Api;
 use wire::{Audit, FleetObject};
 
-/// Short, so that outcomes stay open at times. The id is made from the change's number, so that a
-/// schedule runs the same each time.
+/// Retries for a short time only, so that some outcomes stay unknown. The id is derived from the
+/// change's number, so that a schedule is reproducible.
 fn write_options(number: u32) -> WriteOptions {
     let change = ChangeId::from_u128(
         u128::from(number).wrapping_mul(0x9e37_79b9_7f4a_7c15_f39c_c060_5ced_c835),
@@ -24,14 +25,14 @@
     WriteOptions { change, retry_for: Ms(300), retry_pause: Ms(50) }
 }
 
-/// One schedule.
+/// The faults and the operators' timing of one run.
 #[derive(Clone, Debug)]
 struct Schedule {
-    /// Records in the trail before it starts.
+    /// Records in the audit trail before the start.
     initial_records: u64,
     /// For each operator, the pauses before each of its changes, ms.
     operators: Vec<Vec<u64>>,
-    /// Each call's fault and time, ms.
+    /// Fault and duration of each call, ms.
     faults: Vec<(Fault, u64)>,
 }
 
@@ -49,7 +50,7 @@
     let initial_records = prop_oneof![Just(0), 0u64..3 * PAGE_RECORDS as u64, 60u64..70];
     let operators = prop::collection::vec(prop::collection::vec(0u64..100, 1..5), 2..4);
     let mild = prop::collection::vec((fault(6, 1), 0u64..60), 0..80);
-    // Outages so long that outcomes stay open.
+    // Outages long enough for outcomes to stay unknown.
     let harsh = prop::collection::vec((fault(3, 12), 0u64..60), 0..80);
     let faults = prop_oneof![mild, harsh];
     (initial_records, operators, faults).prop_map(|(initial_records, operators, faults)| Schedule {
@@ -59,7 +60,7 @@
     })
 }
 
-/// What an operator was told of a change.
+/// The outcome of a change as reported to the operator.
 #[derive(Debug)]
 enum Reported {
     Accepted(Generation),
@@ -89,7 +90,8 @@
     reported
 }
 
-/// A trail of `n` changes, with all but the newest pages' worth on pages, as `apply` leaves it.
+/// Writes an audit trail of `n` changes as `apply` leaves it: the newest records in the
+/// configuration object and the older ones on pages.
 async fn fill_trail(memory: &MemoryPlatform, n: u64) {
     let record =
         |to: u64| Audit { from: to - 1, to, why: format!("filled {to}"), ..Audit::default() };
@@ -112,7 +114,7 @@
     }
 }
 
-/// Gives how many changes were told to be accepted, nothing and open.
+/// Runs a schedule and returns the number of changes reported as accepted, not made and unknown.
 async fn run_schedule(memory: MemoryPlatform, schedule: Schedule) -> Result<[usize; 3], String> {
     fill_trail(&memory, schedule.initial_records).await;
     memory.set_faults(schedule.faults);
@@ -126,7 +128,7 @@
     for task in tasks {
         reported.extend(task.await.map_err(|err| err.to_string())?);
     }
-    // Whatever is still on its way lands.
+    // Lets delayed writes arrive.
     memory.set_faults([]);
     tokio::time::sleep(Ms::secs(10).duration()).await;
     check_outcomes(&memory, &reported).await?;
@@ -171,9 +173,7 @@
         match (reported, found) {
             (Reported::Accepted(g), [to]) if g.0 == *to => {}
             (Reported::Unchanged, []) | (Reported::OutcomeUnknown, [] | [_]) => {}
-            (reported, found) => {
-                return Err(format!("{why}: reported {reported:?}, found at {found:?}"));
-            }
+            (outcome, found) => return Err(format!("{why}: {outcome:?}, found at {found:?}")),
         }
     }
     Ok(())
@@ -199,13 +199,13 @@
         Ok(())
     });
     result.unwrap_or_else(|err| panic!("{err}"));
-    println!("accepted, nothing and open: {:?}", counts.get());
-    assert!(counts.get().iter().all(|n| *n >= 50), "each outcome must be met: {counts:?}");
+    println!("accepted, unchanged and unknown: {:?}", counts.get());
+    assert!(counts.get().iter().all(|n| *n >= 50), "each outcome must occur: {counts:?}");
 }
 
-/// Once a schedule of the fuzz: the first try's write was late and its outcome open; then the next
-/// try met a conflict, which was with that very write, and an old read hid it. The operator was
-/// told that another had been first, though the change was in force.
+/// A schedule found by the fuzz test. The first attempt's write was delayed and its outcome unknown.
+/// The next attempt conflicted with that write, but a stale read hid it, and the operator was told
+/// that another change had been accepted first although their own was in force.
 #[test]
 fn a_stale_read_after_a_conflict_with_the_own_write_is_no_loss() {
     use Fault::{Delayed, Down, LoseAnswer, LoseRequest, None, Stale};
@@ -230,8 +230,8 @@
     run(run_schedule(MemoryPlatform::default(), schedule)).unwrap_or_else(|err| panic!("{err}"));
 }
 
-/// The same with a platform that ignores the conditions of writes: a delayed write lands over a
-/// newer one, and the oracle must say so.
+/// The same schedules with a platform that ignores the conditions of writes. A delayed write
+/// overwrites a newer one, and the checks must detect it.
 #[test]
 fn without_the_condition_the_proof_fails() {
     let result = runner(2000).run(&schedule(), |schedule| {
--- a/crates/ctl/tests/suite/main.rs
+++ b/crates/ctl/tests/suite/main.rs
@@ -1,4 +1,4 @@
-//! Changes of the configuration, over the platform in memory and over HTTP.
+//! Tests of configuration changes and reports, with a platform in memory and over HTTP.
 
 mod account;
 mod apply;
--- a/crates/ctl/tests/suite/platform.rs
+++ b/crates/ctl/tests/suite/platform.rs
@@ -1,4 +1,4 @@
-//! The same over HTTP: the stand-in of the platform on a free port, and hosts' admin endpoints.
+//! Commands over HTTP, with a fake platform and hosts' admin endpoints on free ports.
 
 use base::{Generation, Ms};
 use ctl::{ChangeNote, CtlError, Rollout, Source, Status, apply, leave, wait_in_force};
@@ -30,7 +30,8 @@
     ChangeNote { who: "ada", why, at: Ms(1000) }
 }
 
-/// The platform takes two writes and closes the connection on each: the change stands once.
+/// The platform closes the connection on the first two writes without an answer, although the write
+/// takes effect. The change is recorded once.
 #[tokio::test]
 async fn a_write_with_lost_responses_over_http_is_applied_once() {
     let (platform, api) = platform().await;
@@ -42,7 +43,8 @@
     platform.close().await;
 }
 
-/// Twelve operators apply at once from generation 1: one wins, eleven see its change.
+/// Twelve operators apply concurrently from generation 1: one change is accepted, and the other
+/// eleven operators are shown it.
 #[tokio::test]
 async fn of_many_concurrent_changes_one_wins() {
     let (platform, api) = platform().await;
@@ -66,7 +68,8 @@
     platform.close().await;
 }
 
-/// The platform is out: a change says so; the configuration and its trail are read from a host.
+/// While the platform is down a change fails, and the configuration and its audit records are read
+/// from a host.
 #[tokio::test]
 async fn in_an_outage_a_host_answers() {
     let (platform, api) = platform().await;
@@ -84,8 +87,8 @@
     platform.close().await;
 }
 
-/// A mark is written once, taken back with a higher time though the clock is behind, and refused
-/// for a name that isn't declared. Hosts read it as what they know of leaving targets.
+/// A mark is written once, removed with a higher time even if the operator's clock is behind, and
+/// rejected for an undeclared name. Hosts can parse it as a `LeavingTarget`.
 #[tokio::test]
 async fn a_target_is_marked_and_taken_back() {
     let (platform, api) = platform().await;
@@ -111,8 +114,8 @@
     platform.close().await;
 }
 
-/// Two of three hosts have it at first; the wait ends when the third one has, and a wait that is
-/// too short says how far it came. A stopping host is not waited for.
+/// The generation is in force on two of three hosts at first. The wait ends when the third one has
+/// it; a wait that is too short returns the state so far. A stopping host is not waited for.
 #[tokio::test]
 async fn the_wait_ends_when_all_have_it() {
     let host = AdminEndpoint::start(FleetObject::default(), 3).await;
@@ -132,8 +135,8 @@
     assert!(!Rollout::of(Generation(0), &[], &[]).is_complete());
 }
 
-/// The host that was asked is cut off and knows only itself. It has the new generation, but
-/// nothing is known of the other failure domain: that is not "in force everywhere".
+/// The queried host is partitioned and knows only itself. It has the new generation, but nothing is
+/// known of the other failure domain, so the rollout must not count as complete.
 #[test]
 fn a_domain_without_known_hosts_is_incomplete() {
     let (domain, generation) = ("west-a".to_owned(), 2);
@@ -144,8 +147,8 @@
     assert_eq!(reach.to_string(), output);
 }
 
-/// The first host that is asked has an older word of its peer than the peer itself, of the same
-/// heartbeat or an earlier one: what the peer says counts.
+/// One queried host has an older entry for its peer than the peer itself, whichever is queried
+/// first: the newer entry must win.
 #[tokio::test]
 async fn the_newest_entry_of_a_host_wins() {
     let old = AdminEndpoint::start(FleetObject::default(), u64::MAX).await;
@@ -157,13 +160,14 @@
     }
 }
 
-/// A port that nobody listens on any more.
+/// An address on which nothing listens any more.
 async fn unused_addr() -> SocketAddr {
     let listener = TcpListener::bind(local()).await.expect("a free port");
     listener.local_addr().expect("it has an address")
 }
 
-/// A host's admin endpoint: members, of whom one comes to generation 2 after some polls.
+/// A host's admin endpoint. One of its members stays at generation 1 for the first `lagging_polls`
+/// polls and then has generation 2.
 struct AdminEndpoint {
     fleet: FleetObject,
     polls: AtomicU64,
--- a/crates/ctl/tests/suite/size.rs
+++ b/crates/ctl/tests/suite/size.rs
@@ -1,4 +1,4 @@
-//! The largest fleet that is planned for fits the platform's limit with its newest audit records.
+//! The largest planned fleet fits the platform's size limit together with its newest audit records.
 
 use base::{DomainId, Ms};
 use conf::{Domain, Fleet, Target, Workspace};
@@ -8,11 +8,11 @@
 use crate::support::{MemoryPlatform, run};
 
 const COOPERATIVE: &str = include_str!("../../../../examples/cooperative.yaml");
-/// Bytes of one value in the platform.
-const LIMIT: usize = 1 << 20;
+/// Maximum size of one value in the platform.
+const LIMIT_BYTES: usize = 1 << 20;
 
-/// 600 targets in 8 failure domains of 2 regions, 900 workspaces, 8 pipelines.
-fn full() -> Fleet {
+/// A fleet of 600 targets in 8 failure domains of 2 regions, 900 workspaces and 8 pipelines.
+fn largest_fleet() -> Fleet {
     let mut fleet = Fleet::parse(COOPERATIVE).expect("the example parses");
     fleet.regions.truncate(2);
     for (r, region) in fleet.regions.iter_mut().enumerate() {
@@ -43,15 +43,15 @@
     fleet
 }
 
-/// Each change is as large as one can be in the trail: a reason of the greatest length, and more
-/// fields than a record names.
+/// Each change has the largest possible audit record: a reason of maximum length, and more changed
+/// fields than a record lists.
 #[test]
 fn the_largest_fleet_fits_with_its_trail() {
     run(async {
         let memory = MemoryPlatform::default();
         let why = "w".repeat(500);
         let note = ChangeNote { who: "operator", why: &why, at: Ms(1) };
-        let mut fleet = full();
+        let mut fleet = largest_fleet();
         let mut largest = 0;
         for i in 0..2 * PAGE_RECORDS + 2 {
             for workspace in &mut fleet.workspaces {
@@ -62,13 +62,13 @@
             largest = largest.max(object.expect("it is there").body.len());
         }
         println!("{largest} bytes with {} bytes of YAML", fleet.to_yaml().len());
-        assert!(largest < LIMIT, "{largest}");
+        assert!(largest < LIMIT_BYTES, "{largest}");
     });
 }
 
 #[test]
 fn each_changed_workspace_is_reported() {
-    let from = full();
+    let from = largest_fleet();
     let mut to = from.clone();
     to.workspaces.iter_mut().for_each(|w| w.weight = 2.0);
     assert_eq!(diff(&from, &to).len(), 900);
--- a/crates/ctl/tests/suite/support.rs
+++ b/crates/ctl/tests/suite/support.rs
@@ -1,4 +1,4 @@
-//! The platform in memory, with faults given call by call, and small configurations.
+//! A platform in memory with faults injected call by call, and small configurations.
 
 use async_trait::async_trait;
 use base::{Ms, Version};
@@ -8,24 +8,25 @@
 use store::{Api, StoreError};
 use wire::{FleetObject, Object, ObjectList};
 
-/// A configuration of one pipeline whose workspace has this weight.
+/// A small configuration whose workspace has the given weight.
 pub fn yaml(weight: u32) -> String {
     include_str!("small.yaml").replace("weight: 1", &format!("weight: {weight}"))
 }
 
-/// What goes wrong with one call. Reads know only `Down` and `Stale`.
+/// Fault of one call. Reads honour only `Down`, and single reads also `Stale`.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 pub enum Fault {
     None,
-    /// Not reached.
+    /// The platform can't be reached.
     Down,
-    /// The write takes effect and its answer is lost.
+    /// The write takes effect, but its response is lost.
     LoseAnswer,
-    /// The write is lost, and nobody says so.
+    /// The write is lost, and the caller can't tell whether it took effect.
     LoseRequest,
-    /// No answer, and the write takes effect this much later, if its condition holds then.
+    /// The write gets no response and arrives this many milliseconds later; it takes effect if its
+    /// condition holds then.
     Delayed(u64),
-    /// A read gives what was there before the last write.
+    /// A read returns the content before the last write.
     Stale,
 }
 
@@ -34,7 +35,7 @@
     objects: Objects,
     /// Content before the newest write of each object.
     before: Vec<Object>,
-    /// Each next call's fault and how long it takes, ms.
+    /// Fault and duration of each upcoming call, ms.
     faults: VecDeque<(Fault, u64)>,
     /// Bodies of the configuration object that were accepted, in order.
     accepted: Vec<String>,
@@ -46,14 +47,15 @@
 pub struct MemoryPlatform(Arc<Mutex<Inner>>);
 
 impl MemoryPlatform {
-    /// One that ignores the conditions of writes: what the proofs must find.
+    /// A platform that ignores the conditions of configuration writes, a fault which the tests must
+    /// detect.
     pub fn unconditional() -> Self {
         let memory = Self::default();
         memory.lock().unconditional = true;
         memory
     }
 
-    /// The next calls' faults and times, ms; then all is well.
+    /// Sets the faults and durations, ms, of the next calls; later calls succeed.
     pub fn set_faults(&self, faults: impl IntoIterator<Item = (Fault, u64)>) {
         self.lock().faults = faults.into_iter().collect();
     }
@@ -154,7 +156,7 @@
     }
 }
 
-/// Runs in virtual time: sleeps pass at once, in order.
+/// Runs in virtual time: sleeps end at once, in order.
 pub fn run<F: Future>(future: F) -> F::Output {
     let mut builder = tokio::runtime::Builder::new_current_thread();
     let runtime = builder.enable_time().start_paused(true).build().expect("a runtime");
--- a/crates/ctl/tests/suite/timeline.rs
+++ b/crates/ctl/tests/suite/timeline.rs
@@ -1,4 +1,4 @@
-//! One request's timeline from the lines of several hosts.
+//! The timeline of one request from the log lines of several hosts.
 
 use ctl::timeline;
 
