--- a/bins/siskinwheel/src/run.rs
+++ b/bins/siskinwheel/src/run.rs
@@ -99,8 +99,8 @@
     let differences = Differences::of(yaml, &object)?;
     let mut accepted = Accepted { applied: None, differences, reach: None };
     if !accepted.differences.is_empty() {
-        // The printed differences must be those that are written, so the write is conditional on
-        // the generation that they were computed from.
+        // The printed differences must be those that are written. So without another base the write
+        // is conditional on the generation they were computed from, and a newer one is a conflict.
         let from = from.or(ctl::header_generation(yaml)).unwrap_or(accepted.differences.generation);
         accepted.applied = Some(ctl::apply(&*api, yaml, Some(from), &note).await?);
     }
--- a/crates/ctl/src/account.rs
+++ b/crates/ctl/src/account.rs
@@ -44,7 +44,7 @@
 pub struct RouteAccount {
     /// Number of served requests, including late ones.
     pub served: u64,
-    /// Number of requests served after the time they aimed at.
+    /// Number of requests served after their latency aim.
     pub late: u64,
     /// Late requests by cause.
     pub causes: BTreeMap<Cause, u64>,
