--- a/bins/siskinwheel/src/args.rs
+++ b/bins/siskinwheel/src/args.rs
@@ -1,4 +1,4 @@
-//! The command line as one typed value.
+//! Parses the command line.
 
 use anyhow::{Context, Result, bail};
 use base::{Generation, Ms};
@@ -8,12 +8,12 @@
 use std::net::SocketAddr;
 use std::path::PathBuf;
 
-/// Audit records that `history` gives when it isn't told how many.
-const LAST: usize = 20;
-/// Seconds that `apply --wait` waits when it isn't told how long.
-const WITHIN: u64 = 30;
+/// Audit records that `history` prints without `--last`.
+const DEFAULT_LAST: usize = 20;
+/// Time that `apply --wait` waits without `--within`.
+const DEFAULT_WAIT_SECS: u64 = 30;
 
-/// What the program is told.
+/// The parsed command line.
 pub struct Options {
     pub command: Command,
     pub platform: Option<SocketAddr>,
@@ -21,7 +21,7 @@
     pub json: bool,
 }
 
-/// What to do.
+/// A command with its arguments.
 pub enum Command {
     Check { file: PathBuf, kind: Option<FileKind> },
     CheckEdge { file: PathBuf },
@@ -33,18 +33,18 @@
     History { last: usize },
     Leave { target: String, back: bool, note: Note },
     Explain { workspace: String, pipeline: String, file: Option<PathBuf> },
-    Story { request: String, files: Vec<PathBuf> },
+    Timeline { request: String, files: Vec<PathBuf> },
     Account { files: Vec<PathBuf> },
 }
 
-/// Who changes and why.
+/// Who makes a change and why.
 pub struct Note {
     pub who: String,
     pub why: String,
 }
 
 impl Options {
-    /// Reads the arguments after the program's name.
+    /// Parses the arguments after the program's name.
     pub fn parse(args: Vec<OsString>) -> Result<Self> {
         let mut args = Arguments::from_vec(args);
         let name = args.subcommand()?.context("a command is missing")?;
@@ -57,34 +57,34 @@
             "apply" => apply(&mut args, &hosts)?,
             "show" => Command::Show,
             "status" => Command::Status,
-            "history" => {
-                Command::History { last: args.opt_value_from_str("--last")?.unwrap_or(LAST) }
-            }
+            "history" => Command::History {
+                last: args.opt_value_from_str("--last")?.unwrap_or(DEFAULT_LAST),
+            },
             "leave" => leave(&mut args)?,
             "explain" => explain(&mut args)?,
             "account" => Command::Account { files: files(&mut args)? },
             other => bail!("there is no command '{other}'"),
         };
         match args.finish().as_slice() {
-            [] => Self { command, platform, hosts, json }.complete(),
+            [] => Self { command, platform, hosts, json }.require_addresses(),
             rest => bail!("unknown arguments {rest:?}"),
         }
     }
 
-    /// Insists on the addresses that the command needs.
-    fn complete(self) -> Result<Self> {
-        let none = self.platform.is_none();
+    /// Fails if an address that the command needs is missing.
+    fn require_addresses(self) -> Result<Self> {
+        let no_platform = self.platform.is_none();
         match &self.command {
             Command::Check { .. }
             | Command::CheckEdge { .. }
             | Command::CheckDeploy { .. }
             | Command::Explain { file: Some(_), .. }
-            | Command::Story { .. }
+            | Command::Timeline { .. }
             | Command::Account { .. } => {}
-            Command::Apply { .. } | Command::Leave { .. } if none => {
+            Command::Apply { .. } | Command::Leave { .. } if no_platform => {
                 bail!("give the platform's address with --platform")
             }
-            _ if none && self.hosts.is_empty() => {
+            _ if no_platform && self.hosts.is_empty() => {
                 bail!("give --platform, or in an outage of it --host")
             }
             _ => {}
@@ -93,7 +93,7 @@
     }
 }
 
-/// With a workspace, what decides there; else what happened to a request.
+/// With `--workspace`, explains the values in effect for it; else what happened to a request.
 fn explain(args: &mut Arguments) -> Result<Command> {
     if let Some(workspace) = args.opt_value_from_str("--workspace")? {
         let pipeline = args.value_from_str("--pipeline")?;
@@ -101,7 +101,7 @@
         return Ok(Command::Explain { workspace, pipeline, file });
     }
     let request = args.free_from_str().context("give a request's id, or --workspace")?;
-    Ok(Command::Story { request, files: files(args)? })
+    Ok(Command::Timeline { request, files: files(args)? })
 }
 
 fn files(args: &mut Arguments) -> Result<Vec<PathBuf>> {
@@ -137,7 +137,7 @@
         (false, None) => None,
         (false, Some(_)) => bail!("--within needs --wait"),
         (true, _) if hosts.is_empty() => bail!("--wait needs a --host to ask"),
-        (true, secs) => Some(Ms::secs(secs.unwrap_or(WITHIN))),
+        (true, secs) => Some(Ms::secs(secs.unwrap_or(DEFAULT_WAIT_SECS))),
     };
     Ok(Command::Apply { file: file(args)?, note, from, wait })
 }
--- a/bins/siskinwheel/tests/suite/commands.rs
+++ b/bins/siskinwheel/tests/suite/commands.rs
@@ -1,11 +1,11 @@
-//! What the commands print and how they exit, over the stand-in of the platform.
+//! Output and exit codes of the commands, with a fake platform.
 
 use crate::env::{self, Env};
 use fakes::PlatformFaults;
 
-/// From an empty platform to a change that is in force, as an operator goes.
+/// The usual commands of an operator, from an empty platform to a change in force.
 #[test]
-fn a_change_is_checked_compared_applied_and_found_again() {
+fn a_change_is_checked_compared_applied_and_listed() {
     let env = Env::start();
     let file = env.file("fleet.yaml", &env::yaml(1));
     insta::assert_snapshot!("check", env.run(&["check", &file]));
@@ -27,7 +27,7 @@
     insta::assert_snapshot!("status", env.run(&["status", env.platform(), env.host()]));
 }
 
-/// Both took generation 1 from `show`; Bob is second and sees Ada's change.
+/// Ada and Bob both start from generation 1. Bob applies second and is shown Ada's change.
 #[test]
 fn the_second_of_two_operators_sees_the_first_ones_change() {
     let env = Env::start();
@@ -41,9 +41,9 @@
     assert!(rebased.starts_with("exit 0"), "{rebased}");
 }
 
-/// What `apply --wait` says when one of three hosts doesn't take the change in time.
+/// Output of `apply --wait` when one of three hosts doesn't have the change in time.
 #[test]
-fn a_host_that_lags_is_told() {
+fn a_lagging_host_is_reported() {
     let env = Env::start();
     env.apply(1, "first");
     env.apply(2, "second");
@@ -63,9 +63,9 @@
         let note = ["--who", "ada", "--why", "new disk", env.platform()];
         env.run(&[&["leave"], args, &note].concat())
     };
-    let told = [run(&["register-1"]), run(&["register-1"]), env.run(&["status", env.platform()])];
+    let output = [run(&["register-1"]), run(&["register-1"]), env.run(&["status", env.platform()])];
     let more = [run(&["register-1", "--back"]), run(&["register-9"])];
-    insta::assert_snapshot!("leave", told.into_iter().chain(more).collect::<String>());
+    insta::assert_snapshot!("leave", output.into_iter().chain(more).collect::<String>());
 }
 
 #[test]
@@ -94,12 +94,12 @@
     let apply = ["apply", &file, "--who", "ada", "--why", "broken", env.platform()];
     assert!(env.run(&apply).starts_with("exit 3"));
     let file = env.file("edge.yaml", "host: edge-1\nredy: 127.0.0.1:1\n");
-    let said = env.run(&["check", "--edge", &file]);
-    assert!(said.starts_with("exit 3") && said.contains("redy"), "{said}");
+    let output = env.run(&["check", "--edge", &file]);
+    assert!(output.starts_with("exit 3") && output.contains("redy"), "{output}");
     let file =
         env.file("system.toml", "build = \"true\"\n[roles.edge]\nrun = \"\"\non = \"edge\"\n");
-    let said = env.run(&["check", &file]);
-    assert!(said.starts_with("exit 3") && said.contains("name the program"), "{said}");
+    let output = env.run(&["check", &file]);
+    assert!(output.starts_with("exit 3") && output.contains("name the program"), "{output}");
     let file = env.file("none.yaml", "pipelines: [\n");
     insta::assert_snapshot!("check_no_yaml", env.run(&["check", &file]));
     let file = env.file("other.yaml", "a: 1\n");
@@ -108,7 +108,8 @@
     assert!(env.run(&["check", "no-such-file.yaml"]).starts_with("exit 1"));
 }
 
-/// The platform is out. Changes say that nothing changed; questions are answered by a host.
+/// While the platform is down, changes report that nothing changed, and queries are answered by a
+/// host.
 #[test]
 fn in_an_outage_hosts_answer_and_changes_fail() {
     let env = Env::start();
@@ -124,8 +125,8 @@
     assert!(env.run(&["show", "--host=127.0.0.1:1"]).starts_with("exit 1"));
 }
 
-/// The answer to the write is lost and the platform is out from then on: exit 6, with the change
-/// to look for; never "failed", since it took effect.
+/// The response to the write is lost and the platform is down from then on. The exit code is 6, with
+/// the change's id to look for, and not that of a failure, since the write took effect.
 #[test]
 fn an_unknown_outcome_has_its_own_exit_code() {
     let env = Env::start();
@@ -137,7 +138,7 @@
 }
 
 #[test]
-fn wrong_usage_is_told() {
+fn wrong_usage_is_reported() {
     let env = Env::start();
     let cases: &[&[&str]] = &[
         &[],
@@ -153,7 +154,7 @@
         &["show", "--platform", "localhost"],
         &["history", "--last", "some", "--platform=127.0.0.1:1"],
     ];
-    let told: String =
+    let output: String =
         cases.iter().map(|args| format!("{}\n{}\n", args.join(" "), env.run(args))).collect();
-    insta::assert_snapshot!("usage", told);
+    insta::assert_snapshot!("usage", output);
 }
--- a/crates/ctl/src/account.rs
+++ b/crates/ctl/src/account.rs
@@ -1,30 +1,30 @@
-//! Where late requests lost their time, from the log lines of all hosts.
+//! Attributes the delay of late requests to causes, from the log lines of all hosts.
 
 use serde::Serialize;
 use serde_json::{Map, Value};
 use std::collections::{BTreeMap, HashMap, HashSet};
 use std::fmt;
 
-use crate::story::json_line;
+use crate::timeline::json_line;
 
 /// Why a request was late.
 #[derive(Clone, Copy, Debug, PartialEq, Eq, PartialOrd, Ord, Hash, Serialize)]
 #[serde(rename_all = "snake_case")]
 pub enum Cause {
-    /// Results that its stages read were gone, and were made again.
+    /// Results that its stages read were lost and had to be computed again.
     Redone,
-    /// More than one target got it.
+    /// It was sent to more than one target.
     SentAgain,
-    /// Its stages took longer than those of requests on time.
+    /// Its stages exceeded the median of on-time requests by more than its engine did.
     Stages,
-    /// Its engine took longer to its first event.
+    /// Its engine took longer to send the first event.
     Engine,
-    /// Its target took longer; it has no stages.
+    /// Its target took longer; the request has no stages.
     Target,
 }
 
 impl Cause {
-    /// All, in the order of the table's columns.
+    /// All causes, in the order of the table's columns.
     pub const ALL: [Self; 5] =
         [Self::Redone, Self::SentAgain, Self::Stages, Self::Engine, Self::Target];
 
@@ -42,50 +42,51 @@
 /// Requests of one route.
 #[derive(Clone, Debug, Default, PartialEq, Serialize)]
 pub struct RouteAccount {
-    /// Served, late ones included.
+    /// Number of served requests, including late ones.
     pub served: u64,
-    /// Served after their aim.
+    /// Number of requests served after their latency aim.
     pub late: u64,
-    /// Late ones by their cause.
+    /// Late requests by cause.
     pub causes: BTreeMap<Cause, u64>,
-    /// Time to the end of the stages, ms, median of those on time and of the late.
+    /// Time to the end of the stages, ms: medians of the on-time and of the late requests.
     pub stages_ms: (u64, u64),
-    /// Time from there to the first event or the answer, ms, likewise.
+    /// Time from the end of the stages to the first event or the answer, ms: medians of the on-time
+    /// and of the late requests.
     pub target_ms: (u64, u64),
-    /// Late ones by the span of ten seconds in which they ended, as the hosts' clocks had it.
+    /// Late requests by the interval of ten seconds in which they ended, by the hosts' clocks.
     pub spans: BTreeMap<String, u64>,
 }
 
-/// All requests of the logs.
+/// Summary of all requests in the logs.
 #[derive(Clone, Debug, Default, PartialEq, Serialize)]
 pub struct Account {
     /// By route.
     pub routes: BTreeMap<String, RouteAccount>,
-    /// Requests that were refused or given up on, by reason.
+    /// Requests that were rejected or abandoned, by reason.
     pub refused: BTreeMap<String, u64>,
     /// Stages that failed, by fault.
     pub failed: BTreeMap<String, u64>,
-    /// Callers that left before their answer or in its middle.
+    /// Clients that disconnected before or during their answer.
     pub left: u64,
 }
 
-/// A served request.
+/// A `RequestServed` log line.
 struct Served {
     request: String,
     route: String,
     late_ms: u64,
     stages_ms: u64,
     target_ms: u64,
-    staged: bool,
+    has_stages: bool,
     runs: u64,
     stands_for: u64,
     span: String,
 }
 
-/// Length of a time as far as tens of seconds: `2026-12-03T04:36:2`.
-const SPAN: usize = 18;
+/// Length of a timestamp cut after the tens of seconds, such as `2026-12-03T04:36:2`.
+const SPAN_CHARS: usize = 18;
 
-/// Adds up the lines of all hosts. Lines of other programs are passed over.
+/// Summarizes the log lines of all hosts. Lines of other programs are skipped.
 pub fn account<'a>(lines: impl Iterator<Item = &'a str>) -> Account {
     let mut account = Account::default();
     let mut served = Vec::new();
@@ -94,7 +95,7 @@
         let Some(line) = json_line(line) else { continue };
         let Some(fields) = line.get("fields").and_then(Value::as_object) else { continue };
         match text(fields, "name") {
-            Some("RequestServed") => served.extend(read(&line, fields)),
+            Some("RequestServed") => served.extend(parse_served(&line, fields)),
             Some("StageRedone") => redone.extend(text(fields, "request").map(str::to_owned)),
             Some("RequestRefused") => count(&mut account.refused, text(fields, "reason")),
             Some("StageFailed") => count(&mut account.failed, text(fields, "fault")),
@@ -107,7 +108,7 @@
         by_route.entry(&request.route).or_default().push(request);
     }
     for (route, requests) in by_route {
-        account.routes.insert(route.to_owned(), of_route(&requests, &redone));
+        account.routes.insert(route.to_owned(), route_account(&requests, &redone));
     }
     account
 }
@@ -126,7 +127,7 @@
     }
 }
 
-fn read(line: &Value, fields: &Map<String, Value>) -> Option<Served> {
+fn parse_served(line: &Value, fields: &Map<String, Value>) -> Option<Served> {
     let stages = number(fields, "stages_ms");
     let end = number(fields, "first_ms").or(number(fields, "took_ms"))?;
     let time = line.get("timestamp")?.as_str()?;
@@ -136,17 +137,18 @@
         late_ms: number(fields, "late_ms").unwrap_or(0),
         stages_ms: stages.unwrap_or(0),
         target_ms: end.saturating_sub(stages.unwrap_or(0)),
-        staged: stages.is_some(),
+        has_stages: stages.is_some(),
         runs: number(fields, "runs").unwrap_or(1),
         stands_for: number(fields, "stands_for").unwrap_or(1),
-        span: time.get(..SPAN).unwrap_or(time).to_owned(),
+        span: time.get(..SPAN_CHARS).unwrap_or(time).to_owned(),
     })
 }
 
-fn of_route(requests: &[&Served], redone: &HashSet<String>) -> RouteAccount {
-    let (late, timely): (Vec<&Served>, Vec<&Served>) = requests.iter().partition(|r| r.late_ms > 0);
-    let stages_ms = (median(&timely, |r| r.stages_ms), median(&late, |r| r.stages_ms));
-    let target_ms = (median(&timely, |r| r.target_ms), median(&late, |r| r.target_ms));
+fn route_account(requests: &[&Served], redone: &HashSet<String>) -> RouteAccount {
+    let (late, on_time): (Vec<&Served>, Vec<&Served>) =
+        requests.iter().partition(|r| r.late_ms > 0);
+    let stages_ms = (median(&on_time, |r| r.stages_ms), median(&late, |r| r.stages_ms));
+    let target_ms = (median(&on_time, |r| r.target_ms), median(&late, |r| r.target_ms));
     let mut causes = BTreeMap::new();
     let mut spans = BTreeMap::new();
     for request in &late {
@@ -154,7 +156,7 @@
         let cause = match () {
             () if redone.contains(&request.request) => Cause::Redone,
             () if request.runs > 1 => Cause::SentAgain,
-            () if !request.staged => Cause::Target,
+            () if !request.has_stages => Cause::Target,
             () if stages.saturating_sub(stages_ms.0) > target.saturating_sub(target_ms.0) => {
                 Cause::Stages
             }
@@ -163,7 +165,8 @@
         *causes.entry(cause).or_default() += 1;
         *spans.entry(request.span.clone()).or_default() += 1;
     }
-    // A sampled line stands for several; each late one is written.
+    // Lines of on-time requests are sampled and each stands for several requests; every late
+    // request is logged.
     let served = requests.iter().map(|r| r.stands_for).sum::<u64>().max(late.len() as u64);
     RouteAccount { served, late: late.len() as u64, causes, stages_ms, target_ms, spans }
 }
@@ -186,7 +189,7 @@
             for cause in Cause::ALL {
                 write!(f, " {:>10}", row.causes.get(&cause).copied().unwrap_or(0))?;
             }
-            let pair = |(timely, late): (u64, u64)| format!("{timely} / {late}");
+            let pair = |(on_time, late): (u64, u64)| format!("{on_time} / {late}");
             write!(f, "  {:>15}  {:>15}", pair(row.stages_ms), pair(row.target_ms))?;
         }
         for (title, counts) in [("refused", &self.refused), ("stages failed", &self.failed)] {
--- a/crates/ctl/src/explain.rs
+++ b/crates/ctl/src/explain.rs
@@ -1,4 +1,4 @@
-//! Which declaration decides, and why.
+//! Explains which declaration determines each effective value, and why.
 
 use base::{Generation, Ms};
 use conf::{Exception, Plan, Source as Decider};
@@ -6,29 +6,29 @@
 use serde_json::{Value, json};
 use std::fmt;
 
-use crate::{CtlError, stamp};
+use crate::{CtlError, format_utc};
 
-/// What holds for one workspace and pipeline.
+/// Effective values for one workspace and pipeline.
 #[derive(Clone, Debug, PartialEq, Serialize)]
 pub struct Explained {
-    /// Where it holds; zero for a file.
+    /// Generation of the configuration; zero for a file.
     pub generation: Generation,
-    /// The workspace.
+    /// Name of the workspace.
     pub workspace: String,
-    /// The pipeline.
+    /// Name of the pipeline.
     pub pipeline: String,
-    /// Each field with what decides it.
+    /// Each field with the declaration that sets it.
     pub fields: Vec<Decided>,
 }
 
-/// One field with what decides it.
+/// One field with the declaration that sets it.
 #[derive(Clone, Debug, PartialEq, Serialize)]
 pub struct Decided {
-    /// The field.
+    /// Name of the field.
     pub field: &'static str,
-    /// Its value.
+    /// Effective value.
     pub value: Value,
-    /// `default`, `pipeline`, `workspace` or `exception`.
+    /// What sets the value: `default`, `pipeline`, `workspace` or `exception`.
     pub by: &'static str,
     /// The exception's name.
     pub exception: Option<String>,
@@ -38,23 +38,29 @@
     pub until_ms: Option<u64>,
 }
 
-/// Says which default or exception decides at `now`.
+/// Determines which default or exception sets each value at `now`.
 pub fn explain(
     plan: &Plan,
     workspace: &str,
     pipeline: &str,
     now: Ms,
 ) -> Result<Explained, CtlError> {
-    let unknown = |kind, name: &str| CtlError::Unknown { kind, name: name.to_owned() };
-    let space = plan.workspace(workspace).ok_or_else(|| unknown("workspace", workspace))?;
-    let pipe = plan.pipeline(pipeline).ok_or_else(|| unknown("pipeline", pipeline))?;
-    let holds = plan.effective(space, pipe, now);
+    let unknown = |kind, name: &str| CtlError::NotDeclared { kind, name: name.to_owned() };
+    let workspace_decl =
+        plan.workspace(workspace).ok_or_else(|| unknown("workspace", workspace))?;
+    let pipeline_decl = plan.pipeline(pipeline).ok_or_else(|| unknown("pipeline", pipeline))?;
+    let effective = plan.effective(workspace_decl, pipeline_decl, now);
     let exceptions = &plan.fleet.exceptions;
     let fields = vec![
-        decided("deadline_ms", json!(holds.deadline_ms.0), &holds.deadline_ms.1, exceptions),
-        decided("priority", json!(holds.priority.0), &holds.priority.1, exceptions),
-        decided("placement", json!(holds.placement.0), &holds.placement.1, exceptions),
-        decided("weight", json!(holds.weight.0), &holds.weight.1, exceptions),
+        decided(
+            "deadline_ms",
+            json!(effective.deadline_ms.0),
+            &effective.deadline_ms.1,
+            exceptions,
+        ),
+        decided("priority", json!(effective.priority.0), &effective.priority.1, exceptions),
+        decided("placement", json!(effective.placement.0), &effective.placement.1, exceptions),
+        decided("weight", json!(effective.weight.0), &effective.weight.1, exceptions),
     ];
     Ok(Explained {
         generation: plan.generation,
@@ -96,7 +102,7 @@
                 _ => write!(f, ", by {}", d.by)?,
             }
             if let Some(until) = d.until_ms {
-                write!(f, " (until {})", stamp(Ms(until)))?;
+                write!(f, " (until {})", format_utc(Ms(until)))?;
             }
         }
         Ok(())
--- a/crates/ctl/src/leave.rs
+++ b/crates/ctl/src/leave.rs
@@ -1,4 +1,4 @@
-//! Marking a target as leaving, or taking the mark back.
+//! Marks a target as leaving, or removes the mark.
 
 use base::{Ms, Version};
 use serde::Serialize;
@@ -6,23 +6,23 @@
 use store::{Api, Change, WriteOutcome};
 use wire::{FleetObject, LeavingMark};
 
-use crate::apply::resolve;
-use crate::source::NEW;
-use crate::{ChangeNote, CtlError, Settle, read_fleet};
+use crate::apply::write_with_retry;
+use crate::source::NOT_YET_CREATED;
+use crate::{ChangeNote, CtlError, WriteOptions, read_fleet};
 
-/// Kind of the marks' objects; each is named after its target.
+/// Kind of the stored marks; each object is named after its target.
 pub const LEAVING_KIND: &str = "leaving";
 
-/// A target's mark as it is now.
+/// State of a target's mark after a command.
 #[derive(Clone, Debug, PartialEq, Eq, Serialize)]
 pub struct Marked {
-    /// Which target.
+    /// Name of the target.
     pub target: String,
     /// Whether it is leaving.
     pub leaving: bool,
-    /// False when it stood so before.
+    /// False if the target was in this state before.
     pub changed: bool,
-    /// Since when, ms since the Unix epoch.
+    /// When it entered this state, ms since the Unix epoch.
     pub since_ms: u64,
 }
 
@@ -34,10 +34,10 @@
     }
 }
 
-/// Marks a declared target as leaving, or with `leaving` false takes the mark back.
+/// Marks a declared target as leaving, or removes the mark if `leaving` is false.
 ///
-/// A mark on a name that isn't declared would do nothing while the operator waits for the target
-/// to drain; so it is refused.
+/// A name that isn't declared is rejected: the mark would have no effect while the operator waits
+/// for the target to drain.
 pub async fn leave(
     api: &dyn Api,
     target: &str,
@@ -46,17 +46,18 @@
 ) -> Result<Marked, CtlError> {
     note.check()?;
     let (_, object) = read_fleet(api).await?;
-    declared(&object, target)?;
-    let (version, before) = read(api, target).await?;
+    check_declared(&object, target)?;
+    let (version, before) = read_mark(api, target).await?;
     if before.leaving == leaving {
         let (target, since_ms) = (target.to_owned(), before.since_ms);
         return Ok(Marked { target, leaving, changed: false, since_ms });
     }
-    let settle = Settle::fresh();
-    let id = settle.change;
+    let options = WriteOptions::fresh();
+    let id = options.change;
     let mark = LeavingMark {
         target: target.to_owned(),
-        // Hosts take the higher one, so a mark must be above the last though this clock is behind.
+        // Hosts keep the mark with the highest time, so a new mark must be above the previous one
+        // even if this machine's clock is behind.
         since_ms: note.at.max(Ms(before.since_ms) + Ms(1)).0,
         leaving,
         change: id.to_string(),
@@ -65,34 +66,34 @@
     };
     let body = serde_json::to_string(&mark)?;
     let change = Change { kind: LEAVING_KIND, name: target, expected: version, id, body: &body };
-    match resolve(api, change, settle).await? {
+    match write_with_retry(api, change, options).await? {
         WriteOutcome::Committed(_) => {
             Ok(Marked { target: mark.target, leaving, changed: true, since_ms: mark.since_ms })
         }
-        WriteOutcome::Conflict { .. } => Err(CtlError::MarkRaced(mark.target)),
-        WriteOutcome::Unknown => Err(CtlError::Open { change: id }),
+        WriteOutcome::Conflict { .. } => Err(CtlError::MarkConflict(mark.target)),
+        WriteOutcome::Unknown => Err(CtlError::OutcomeUnknown { change: id }),
     }
 }
 
-fn declared(object: &FleetObject, target: &str) -> Result<(), CtlError> {
+fn check_declared(object: &FleetObject, target: &str) -> Result<(), CtlError> {
     if object.generation == 0 {
-        return Err(CtlError::Nothing);
+        return Err(CtlError::NoConfiguration);
     }
     let fleet = conf::Fleet::parse(&object.config)?;
     match fleet.pools.iter().flat_map(|p| &p.targets).any(|t| t.name.as_str() == target) {
         true => Ok(()),
-        false => Err(CtlError::Unknown { kind: "target", name: target.to_owned() }),
+        false => Err(CtlError::NotDeclared { kind: "target", name: target.to_owned() }),
     }
 }
 
-async fn read(api: &dyn Api, target: &str) -> Result<(Version, LeavingMark), CtlError> {
+async fn read_mark(api: &dyn Api, target: &str) -> Result<(Version, LeavingMark), CtlError> {
     match api.get(LEAVING_KIND, target).await? {
         Some(object) => Ok((Version(object.version), serde_json::from_str(&object.body)?)),
-        None => Ok((NEW, LeavingMark::default())),
+        None => Ok((NOT_YET_CREATED, LeavingMark::default())),
     }
 }
 
-/// Names of the targets that are marked, in order.
+/// Names of the targets that are marked as leaving, sorted.
 pub async fn marked(api: &dyn Api) -> Result<Vec<String>, CtlError> {
     let mut names = Vec::new();
     for object in api.list(LEAVING_KIND).await?.objects {
--- a/crates/ctl/src/status.rs
+++ b/crates/ctl/src/status.rs
@@ -1,4 +1,4 @@
-//! Hosts, and what is in force on them.
+//! Reports the hosts and the generation in force on each of them.
 
 use base::{DomainId, Generation, Ms};
 use serde::Serialize;
@@ -10,35 +10,36 @@
 
 use crate::{CtlError, host};
 
-/// Time between two looks at the hosts, ms.
-const LOOK: Ms = Ms(200);
+/// Time between two polls of the hosts.
+const POLL_INTERVAL: Ms = Ms(200);
 
-/// What is in force in one failure domain.
+/// Rollout of a generation in one failure domain.
 #[derive(Clone, Debug, Default, PartialEq, Eq, Serialize)]
-pub struct DomainReach {
-    /// Its hosts that take requests.
+pub struct DomainRollout {
+    /// Hosts of the domain that accept requests.
     pub hosts: usize,
-    /// Those of them that have the generation in force, or a higher one.
+    /// Hosts among them on which the generation or a higher one is in force.
     pub reached: usize,
 }
 
-/// On how many hosts of which failure domains a generation is in force.
+/// Number of hosts on which a generation is in force, by failure domain.
 #[derive(Clone, Debug, PartialEq, Eq, Serialize)]
-pub struct Reach {
+pub struct Rollout {
     /// The generation.
     pub generation: Generation,
     /// By failure domain.
-    pub domains: BTreeMap<String, DomainReach>,
+    pub domains: BTreeMap<String, DomainRollout>,
 }
 
-impl Reach {
-    /// Counts members; stopping hosts are left out, for they take nothing new.
+impl Rollout {
+    /// Counts members. Stopping hosts are left out because they accept no new requests.
     ///
-    /// `declared` are the configuration's failure domains. One without a host is counted too: a
-    /// host that is cut off knows only its own domain, and its word alone would pass for all.
+    /// `declared` lists the configuration's failure domains. A domain without known hosts is listed
+    /// too and makes the rollout incomplete: a partitioned host knows only its own domain, and its
+    /// member list alone would otherwise pass for a complete rollout.
     pub fn of(generation: Generation, members: &[Member], declared: &[DomainId]) -> Self {
-        let none = |name: &DomainId| (name.to_string(), DomainReach::default());
-        let mut domains: BTreeMap<_, _> = declared.iter().map(none).collect();
+        let empty = |name: &DomainId| (name.to_string(), DomainRollout::default());
+        let mut domains: BTreeMap<_, _> = declared.iter().map(empty).collect();
         for m in members.iter().filter(|m| !m.leaving) {
             let domain = domains.entry(m.domain.clone()).or_default();
             domain.hosts += 1;
@@ -47,23 +48,24 @@
         Self { generation, domains }
     }
 
-    /// Hosts that take requests.
+    /// Number of hosts that accept requests.
     pub fn hosts(&self) -> usize {
         self.domains.values().map(|d| d.hosts).sum()
     }
 
-    /// Hosts that have it in force.
+    /// Number of hosts on which the generation is in force.
     pub fn reached(&self) -> usize {
         self.domains.values().map(|d| d.reached).sum()
     }
 
-    /// Whether it is in force on all hosts, of which each failure domain has at least one.
-    pub fn whole(&self) -> bool {
+    /// Whether the generation is in force on all hosts and each failure domain has at least one
+    /// host.
+    pub fn is_complete(&self) -> bool {
         self.hosts() > 0 && self.domains.values().all(|d| d.hosts > 0 && d.reached == d.hosts)
     }
 }
 
-impl fmt::Display for Reach {
+impl fmt::Display for Rollout {
     fn fmt(&self, f: &mut fmt::Formatter<'_>) -> fmt::Result {
         let (reached, hosts) = (self.reached(), self.hosts());
         write!(f, "generation {} in force on {reached} of {hosts} hosts", self.generation)?;
@@ -77,72 +79,72 @@
     }
 }
 
-/// Members as several hosts know them; of each host the newest word. Hosts that don't answer are
-/// passed over, unless none does.
+/// Merges the member lists of several hosts, with the newest entry for each member. Hosts that
+/// don't answer are skipped; if none answers, the last error is returned.
 pub async fn all_members(hosts: &[SocketAddr]) -> Result<Vec<Member>, CtlError> {
     let mut newest = BTreeMap::<String, Member>::new();
     let mut result = Ok(());
-    let mut heard = false;
+    let mut answered = false;
     for addr in hosts {
         match host::members(*addr).await {
             Ok(members) => {
-                heard = true;
+                answered = true;
                 members.into_iter().for_each(|m| merge(&mut newest, m));
             }
             Err(err) => result = Err(err),
         }
     }
     match result {
-        Err(err) if !heard => Err(err),
+        Err(err) if !answered => Err(err),
         _ => Ok(newest.into_values().collect()),
     }
 }
 
 fn merge(newest: &mut BTreeMap<String, Member>, member: Member) {
-    let age = |m: &Member| (m.incarnation, m.beat, m.generation);
+    let version = |m: &Member| (m.incarnation, m.beat, m.generation);
     match newest.get(&member.host) {
-        Some(known) if age(known) >= age(&member) => {}
+        Some(known) if version(known) >= version(&member) => {}
         _ => {
             newest.insert(member.host.clone(), member);
         }
     }
 }
 
-/// Waits until `generation` is in force on all hosts that `hosts` know of, at most `wait`; gives
-/// how far it came. `declared` are the configuration's failure domains.
+/// Waits at most `wait` until `generation` is in force on all hosts that `hosts` know of, and
+/// returns the last state of the rollout. `declared` lists the configuration's failure domains.
 pub async fn wait_in_force(
     hosts: &[SocketAddr],
     generation: Generation,
     declared: &[DomainId],
     wait: Ms,
-) -> Result<Reach, CtlError> {
+) -> Result<Rollout, CtlError> {
     let end = Instant::now() + wait.duration();
     loop {
-        let result = all_members(hosts).await.map(|m| Reach::of(generation, &m, declared));
+        let result = all_members(hosts).await.map(|m| Rollout::of(generation, &m, declared));
         match result {
-            Ok(reach) if reach.whole() => return Ok(reach),
+            Ok(reach) if reach.is_complete() => return Ok(reach),
             result if Instant::now() >= end => return result,
-            _ => tokio::time::sleep(LOOK.duration()).await,
+            _ => tokio::time::sleep(POLL_INTERVAL.duration()).await,
         }
     }
 }
 
-/// What an operator sees at a glance.
+/// Overview of the fleet for the operator.
 #[derive(Clone, Debug, PartialEq, Serialize)]
 pub struct Status {
-    /// The newest accepted generation; missing when the platform wasn't asked.
+    /// The newest accepted generation; missing if the platform wasn't queried.
     pub accepted: Option<Generation>,
-    /// Targets that an operator marked as leaving; missing when the platform wasn't asked.
+    /// Targets that an operator marked as leaving; missing if the platform wasn't queried.
     pub leaving: Option<Vec<String>>,
-    /// How far the accepted generation, or else the highest one seen, is in force; missing when
-    /// no host was asked.
-    pub reach: Option<Reach>,
-    /// The hosts; empty when none was asked.
+    /// Rollout of the accepted generation, or else of the highest one that a host has; missing if
+    /// no host was queried.
+    pub reach: Option<Rollout>,
+    /// The hosts; empty if none was queried.
     pub hosts: Vec<Member>,
 }
 
 impl Status {
-    /// Puts together what the platform and the hosts say.
+    /// Combines the answers of the platform and the hosts.
     pub fn new(
         accepted: Option<Generation>,
         leaving: Option<Vec<String>>,
@@ -150,8 +152,8 @@
         declared: &[DomainId],
     ) -> Self {
         let highest = hosts.iter().map(|m| Generation(m.generation)).max();
-        let wanted = accepted.or(highest).unwrap_or_default();
-        let reach = (!hosts.is_empty()).then(|| Reach::of(wanted, &hosts, declared));
+        let generation = accepted.or(highest).unwrap_or_default();
+        let reach = (!hosts.is_empty()).then(|| Rollout::of(generation, &hosts, declared));
         Self { accepted, leaving, reach, hosts }
     }
 }
--- a/crates/ctl/tests/suite/support.rs
+++ b/crates/ctl/tests/suite/support.rs
@@ -1,4 +1,4 @@
-//! The platform in memory, with faults given call by call, and small configurations.
+//! A platform in memory with faults injected call by call, and small configurations.
 
 use async_trait::async_trait;
 use base::{Ms, Version};
@@ -8,24 +8,25 @@
 use store::{Api, StoreError};
 use wire::{FleetObject, Object, ObjectList};
 
-/// A configuration of one pipeline whose workspace has this weight.
+/// A small configuration whose workspace has the given weight.
 pub fn yaml(weight: u32) -> String {
     include_str!("small.yaml").replace("weight: 1", &format!("weight: {weight}"))
 }
 
-/// What goes wrong with one call. Reads know only `Down` and `Stale`.
+/// Fault of one call. Reads honour only `Down`, and single reads also `Stale`.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 pub enum Fault {
     None,
-    /// Not reached.
+    /// The platform can't be reached.
     Down,
-    /// The write takes effect and its answer is lost.
+    /// The write takes effect, but its response is lost.
     LoseAnswer,
-    /// The write is lost, and nobody says so.
+    /// The write is lost, and the caller can't tell whether it took effect.
     LoseRequest,
-    /// No answer, and the write takes effect this much later, if its condition holds then.
-    Late(u64),
-    /// A read gives what was there before the last write.
+    /// The write gets no response and arrives this many milliseconds later; it takes effect if its
+    /// condition holds then.
+    Delayed(u64),
+    /// A read returns the content before the last write.
     Stale,
 }
 
@@ -34,34 +35,39 @@
     objects: Objects,
     /// Content before the newest write of each object.
     before: Vec<Object>,
-    /// Each next call's fault and how long it takes, ms.
+    /// Fault and duration of each upcoming call, ms.
     faults: VecDeque<(Fault, u64)>,
     /// Bodies of the configuration object that were accepted, in order.
-    landed: Vec<String>,
+    accepted: Vec<String>,
     unconditional: bool,
 }
 
 /// The platform in memory.
 #[derive(Clone, Default)]
-pub struct Memory(Arc<Mutex<Inner>>);
+pub struct MemoryPlatform(Arc<Mutex<Inner>>);
 
-impl Memory {
-    /// One that ignores the conditions of writes: what the proofs must find.
+impl MemoryPlatform {
+    /// A platform that ignores the conditions of configuration writes, a fault which the tests must
+    /// detect.
     pub fn unconditional() -> Self {
         let memory = Self::default();
         memory.lock().unconditional = true;
         memory
     }
 
-    /// The next calls' faults and times, ms; then all is well.
+    /// Sets the faults and durations, ms, of the next calls; later calls succeed.
     pub fn set_faults(&self, faults: impl IntoIterator<Item = (Fault, u64)>) {
         self.lock().faults = faults.into_iter().collect();
     }
 
     /// Every body that the configuration object has had, oldest first.
-    pub fn landed(&self) -> Vec<FleetObject> {
+    pub fn accepted(&self) -> Vec<FleetObject> {
         let inner = self.lock();
-        inner.landed.iter().map(|body| serde_json::from_str(body).expect("it is read")).collect()
+        inner
+            .accepted
+            .iter()
+            .map(|body| serde_json::from_str(body).expect("the object is readable"))
+            .collect()
     }
 
     fn lock(&self) -> MutexGuard<'_, Inner> {
@@ -92,14 +98,14 @@
         self.before.retain(|o| (o.kind.as_str(), o.name.as_str()) != (kind, name));
         self.before.extend(before);
         if kind == "fleet" {
-            self.landed.push(body.to_owned());
+            self.accepted.push(body.to_owned());
         }
         Ok(version)
     }
 }
 
 #[async_trait]
-impl Api for Memory {
+impl Api for MemoryPlatform {
     async fn get(&self, kind: &str, name: &str) -> Result<Option<Object>, StoreError> {
         match self.next().await {
             Fault::Down => Err(StoreError::Down),
@@ -132,7 +138,7 @@
                 let _ = self.lock().put(kind, name, expected, body);
                 Err(StoreError::OutcomeUnknown)
             }
-            Fault::Late(ms) => {
+            Fault::Delayed(ms) => {
                 let memory = self.clone();
                 let (kind, name, body) = (kind.to_owned(), name.to_owned(), body.to_owned());
                 tokio::spawn(async move {
@@ -150,7 +156,7 @@
     }
 }
 
-/// Runs in virtual time: sleeps pass at once, in order.
+/// Runs in virtual time: sleeps end at once, in order.
 pub fn run<F: Future>(future: F) -> F::Output {
     let mut builder = tokio::runtime::Builder::new_current_thread();
     let runtime = builder.enable_time().start_paused(true).build().expect("a runtime");
