--- a/crates/entry/src/admin.rs
+++ b/crates/entry/src/admin.rs
@@ -1,4 +1,5 @@
-//! Health, readiness and metrics, for the balancer and operators.
+//! HTTP handler of the admin address: health, readiness, metrics and status, for the load balancer
+//! and operators.
 
 use hyper::body::Incoming;
 use hyper::header::{self, HeaderValue};
@@ -13,18 +14,20 @@
 
 use crate::core::Core;
 
-/// Answers the balancer and operators.
-pub(crate) struct Admin {
+/// Handles requests to the admin address.
+pub(crate) struct AdminHandler {
     pub(crate) core: Arc<Core>,
     pub(crate) node: Reader,
 }
 
-/// The hosts that this one has heard of, with the generation in force on each.
+/// Response to `/members`: the hosts that this one knows of, with the configuration generation in
+/// force on each.
 #[derive(Serialize)]
 struct Members {
     members: Vec<Member>,
 }
 
+/// Response to `/status`.
 #[derive(Serialize)]
 struct Status {
     host: String,
@@ -32,11 +35,11 @@
     ready: bool,
     generation: u64,
     open: usize,
-    /// Requests that this host or others gave up on because they bring targets down.
+    /// Poison marks so far: requests that this host or others stopped because they crash targets.
     poison: usize,
 }
 
-impl Handler for Admin {
+impl Handler for AdminHandler {
     async fn handle(
         self: Arc<Self>,
         request: Request<Incoming>,
@@ -63,7 +66,7 @@
     }
 }
 
-impl Admin {
+impl AdminHandler {
     fn status(&self) -> Status {
         let settings = self.core.settings();
         Status {
@@ -71,8 +74,8 @@
             domain: settings.domain.to_string(),
             ready: self.core.ready(),
             generation: self.core.plan().map_or(0, |p| p.generation.0),
-            open: self.core.open(),
-            poison: self.core.poison(),
+            open: self.core.active_count(),
+            poison: self.core.poison_marks(),
         }
     }
 }
--- a/crates/entry/src/attempt.rs
+++ b/crates/entry/src/attempt.rs
@@ -1,4 +1,5 @@
-//! One attempt of a stage on a target.
+//! Runs one attempt of a stage on a target: sends the call, reads the reply or the stream, and asks
+//! the target what became of the call when the connection breaks or goes silent.
 
 use base::{Attempt, RequestId};
 use bytes::{Buf, Bytes, BytesMut};
@@ -11,11 +12,11 @@
 use std::sync::Arc;
 use wire::{Piece, StageCall, StageReply};
 
+use crate::connector::{CallLimits, Connection, ProbeResult};
 use crate::core::Core;
-use crate::dial::{Bounds, Line, Probed};
-use crate::results::Taken;
+use crate::results::StreamProgress;
 
-/// What an attempt needs.
+/// Everything that one attempt needs.
 pub(crate) struct Job {
     pub(crate) request: RequestId,
     pub(crate) stage: usize,
@@ -24,10 +25,11 @@
     pub(crate) stream: bool,
     pub(crate) repeatable: bool,
     pub(crate) addr: SocketAddr,
-    pub(crate) bounds: Bounds,
+    pub(crate) limits: CallLimits,
 }
 
-/// Runs an attempt and reports how it ended.
+/// Runs an attempt. A failure is logged and reported to the core; results reach the core as they
+/// arrive.
 pub(crate) async fn run(core: Arc<Core>, job: Job) {
     match run_once(&core, &job).await {
         Ok(()) => {}
@@ -39,49 +41,50 @@
                 attempt = job.attempt.0,
                 fault = ?fault
             );
-            core.failed(&job, fault);
+            core.attempt_failed(&job, fault);
         }
     }
 }
 
 async fn run_once(core: &Core, job: &Job) -> Result<(), Fault> {
-    let fresh = if job.repeatable { Freshness::Reuse } else { Freshness::New };
+    let freshness = if job.repeatable { Freshness::Reuse } else { Freshness::New };
     let body = Bytes::from(serde_json::to_vec(&job.call).unwrap_or_default());
-    let silence = job.bounds.silence;
-    let mut line = core.dial().open(job.addr, fresh).await.map_err(|_| Fault::Connect)?;
-    if !core.sent(job) {
+    let idle_timeout = job.limits.idle_timeout;
+    let mut conn = core.connector().open(job.addr, freshness).await.map_err(|_| Fault::Connect)?;
+    if !core.mark_sent(job) {
         return Ok(());
     }
-    let mut head = line.send(body.clone(), silence).await;
+    let mut head = conn.send(body.clone(), idle_timeout).await;
     if let Err(LinkError::Unsent) = head {
-        // The kept connection was closed before a byte was written; a new one is the first send.
-        let again = core.dial().open(job.addr, Freshness::New).await;
-        line = again.map_err(|_| Fault::Connect)?;
-        head = line.send(body, silence).await;
+        // The pooled connection was closed before any byte was written, so sending the call on a
+        // new connection is not a repetition.
+        let retried = core.connector().open(job.addr, Freshness::New).await;
+        conn = retried.map_err(|_| Fault::Connect)?;
+        head = conn.send(body, idle_timeout).await;
     }
     loop {
         match head {
-            Ok(StatusCode::OK) if job.stream => return stream(core, job, line).await,
-            Ok(StatusCode::OK) => return whole(core, job, line).await,
+            Ok(StatusCode::OK) if job.stream => return read_stream(core, job, conn).await,
+            Ok(StatusCode::OK) => return read_reply(core, job, conn).await,
             Ok(StatusCode::TOO_MANY_REQUESTS | StatusCode::SERVICE_UNAVAILABLE) => {
                 return Err(Fault::Full);
             }
             Ok(status) if status.is_client_error() => return Err(Fault::Rejected),
             Ok(_) => return Err(Fault::Error),
-            Err(LinkError::Silent) => match ask(core, job, Fault::Silent).await? {
-                Asked::Taken => return Ok(()),
-                Asked::Running => head = line.wait(silence).await,
+            Err(LinkError::Silent) => match probe(core, job, Fault::Silent).await? {
+                CallProgress::Accepted => return Ok(()),
+                CallProgress::Running => head = conn.wait(idle_timeout).await,
             },
-            Err(err) => return broken(core, job, fault(&err)).await,
+            Err(err) => return handle_broken(core, job, fault_of(&err)).await,
         }
     }
 }
 
-fn fault(err: &LinkError) -> Fault {
+fn fault_of(err: &LinkError) -> Fault {
     match err {
         LinkError::Connect | LinkError::Unsent => Fault::Connect,
-        // A kept connection may have been closed from the far end at the same moment: that is no
-        // sign of a crash.
+        // The target may have closed an idle pooled connection at the moment of sending, so a break
+        // of a reused connection is no sign of a crash.
         LinkError::Broken { reused: true } | LinkError::Silent => Fault::Silent,
         LinkError::Broken { reused: false } => Fault::Broken,
         LinkError::TooLarge { .. } => Fault::TooLarge,
@@ -89,87 +92,95 @@
     }
 }
 
-/// The connection broke. Work that may not be repeated may have run all the same, and a caller
-/// that reads `unknown` can do nothing more; so the target is asked what became of it. Other work
-/// is simply sent again.
-async fn broken(core: &Core, job: &Job, fault: Fault) -> Result<(), Fault> {
+/// Handles a connection that failed during a call.
+///
+/// A non-repeatable call may have run even so, and a caller that is told `unknown` cannot resolve
+/// that itself. Therefore the target is asked what became of the call, until it is no longer
+/// running. For a repeatable call the fault is returned, and the stage is sent again.
+async fn handle_broken(core: &Core, job: &Job, fault: Fault) -> Result<(), Fault> {
     if job.repeatable || !matches!(fault, Fault::Broken | Fault::Silent) {
         return Err(fault);
     }
-    while ask(core, job, fault).await? == Asked::Running {
-        tokio::time::sleep(job.bounds.silence.scale(1, 4).duration()).await;
+    while probe(core, job, fault).await? == CallProgress::Running {
+        tokio::time::sleep(job.limits.idle_timeout.scale(1, 4).duration()).await;
     }
     Ok(())
 }
 
-/// What a target says of a call that it may still answer.
+/// State of a call, as reported by its target, when the attempt need not be given up.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
-enum Asked {
-    /// It is at it, and the connection has brought all that it gave: wait on.
+enum CallProgress {
+    /// The target is still running the call, and this host has received everything generated so
+    /// far: keep waiting.
     Running,
-    /// It had finished, and its result was taken.
-    Taken,
+    /// The call had finished, and its result was accepted.
+    Accepted,
 }
 
-/// Asks on a new connection what became of the call. A connection that is only slow must be kept
-/// open meanwhile, since closing it would cancel the call; one that lost what the target gave is
-/// at fault, and the target is not.
-async fn ask(core: &Core, job: &Job, lost: Fault) -> Result<Asked, Fault> {
-    match core.dial().probe(job.addr, &job.call, job.bounds).await {
-        Probed::Running { tokens } if !core.behind(job, tokens) => Ok(Asked::Running),
-        Probed::Done(reply) if !job.stream => {
-            silent(core, job);
-            take_whole(core, job, &reply, 0)?;
-            Ok(Asked::Taken)
+/// Asks the target on a new connection what became of the call.
+///
+/// The original connection stays open meanwhile: it may only be slow, and closing it would cancel
+/// the call. If the connection has lost output that the target sent, the attempt fails with
+/// `fault`, which blames the connection and not the target.
+async fn probe(core: &Core, job: &Job, fault: Fault) -> Result<CallProgress, Fault> {
+    match core.connector().probe(job.addr, &job.call, job.limits).await {
+        ProbeResult::Running { tokens } if !core.stream_behind(job, tokens) => {
+            Ok(CallProgress::Running)
         }
-        Probed::Running { .. } | Probed::Done(_) | Probed::Lost => {
-            silent(core, job);
-            Err(lost)
+        ProbeResult::Done(reply) if !job.stream => {
+            discard_connections(core, job);
+            accept_reply(core, job, &reply, 0)?;
+            Ok(CallProgress::Accepted)
         }
-        Probed::Dead => {
+        ProbeResult::Running { .. } | ProbeResult::Done(_) | ProbeResult::Lost => {
+            discard_connections(core, job);
+            Err(fault)
+        }
+        ProbeResult::Unreachable => {
             note!(Event::TargetDead, request = %job.request, target = %job.addr);
-            core.dial().clear(job.addr);
+            core.connector().clear(job.addr);
             Err(Fault::Dead)
         }
     }
 }
 
-/// What lost track of one connection may have lost the other idle ones too.
-fn silent(core: &Core, job: &Job) {
+/// Logs the silent connection and closes the idle ones to the same target: what lost track of one
+/// connection (a middlebox, for example) may have lost the others too.
+fn discard_connections(core: &Core, job: &Job) {
     note!(Event::ConnectionSilent, request = %job.request, target = %job.addr);
-    core.dial().clear(job.addr);
+    core.connector().clear(job.addr);
 }
 
-async fn whole(core: &Core, job: &Job, mut line: Box<dyn Line>) -> Result<(), Fault> {
+async fn read_reply(core: &Core, job: &Job, mut conn: Box<dyn Connection>) -> Result<(), Fault> {
     let mut body = BytesMut::new();
     loop {
-        match line.chunk(job.bounds.silence).await {
-            Ok(Some(data)) if body.len() + data.len() > job.bounds.limit => {
+        match conn.chunk(job.limits.idle_timeout).await {
+            Ok(Some(data)) if body.len() + data.len() > job.limits.max_bytes => {
                 return Err(Fault::TooLarge);
             }
             Ok(Some(data)) => body.extend_from_slice(&data),
             Ok(None) => break,
-            Err(LinkError::Silent) => match ask(core, job, Fault::Silent).await? {
-                Asked::Taken => return Ok(()),
-                Asked::Running => {}
+            Err(LinkError::Silent) => match probe(core, job, Fault::Silent).await? {
+                CallProgress::Accepted => return Ok(()),
+                CallProgress::Running => {}
             },
-            Err(err) => return broken(core, job, fault(&err)).await,
+            Err(err) => return handle_broken(core, job, fault_of(&err)).await,
         }
     }
     let reply: StageReply = parse(&body)?;
-    take_whole(core, job, &reply, body.len())?;
-    line.keep();
+    accept_reply(core, job, &reply, body.len())?;
+    conn.release();
     Ok(())
 }
 
-/// Takes a whole result if it is this attempt's own. Any other is dropped, and its connection
-/// with it: what else comes on it can't be trusted.
-fn take_whole(core: &Core, job: &Job, reply: &StageReply, bytes: usize) -> Result<(), Fault> {
+/// Accepts a reply if it belongs to this attempt. Any other reply is dropped and its connection
+/// closed, since nothing else that arrives on that connection can be trusted.
+fn accept_reply(core: &Core, job: &Job, reply: &StageReply, bytes: usize) -> Result<(), Fault> {
     let call = &job.call;
-    let own =
+    let matches =
         reply.request == call.request && reply.stage == call.stage && reply.attempt == call.attempt;
-    if !own {
-        core.mismatch(job, &reply.request);
+    if !matches {
+        core.report_mismatch(job, &reply.request);
         return Err(Fault::Mismatch);
     }
     let usage = Usage {
@@ -178,36 +189,36 @@
         cached: reply.cached_tokens,
         bytes: (bytes + call.input.len()) as u64,
     };
-    core.done(job, reply.output.clone(), usage);
+    core.attempt_done(job, reply.output.clone(), usage);
     Ok(())
 }
 
-async fn stream(core: &Core, job: &Job, mut line: Box<dyn Line>) -> Result<(), Fault> {
+async fn read_stream(core: &Core, job: &Job, mut conn: Box<dyn Connection>) -> Result<(), Fault> {
     let mut buffer = BytesMut::new();
     let mut bytes = 0;
     loop {
-        let data = match line.chunk(job.bounds.silence).await {
+        let data = match conn.chunk(job.limits.idle_timeout).await {
             Ok(Some(data)) => data,
-            // The stream closed without its end mark: it was cut.
+            // The stream closed without an end mark, so it is incomplete.
             Ok(None) => return Err(Fault::Broken),
-            Err(LinkError::Silent) => match ask(core, job, Fault::Silent).await? {
-                Asked::Taken => return Ok(()),
-                Asked::Running => continue,
+            Err(LinkError::Silent) => match probe(core, job, Fault::Silent).await? {
+                CallProgress::Accepted => return Ok(()),
+                CallProgress::Running => continue,
             },
-            Err(err) => return Err(fault(&err)),
+            Err(err) => return Err(fault_of(&err)),
         };
         bytes += data.len();
-        if bytes > job.bounds.limit {
+        if bytes > job.limits.max_bytes {
             return Err(Fault::TooLarge);
         }
         buffer.extend_from_slice(&data);
         while let Some(text) = split_line(&mut buffer) {
             let piece: Piece = parse(&text)?;
-            match take_piece(core, job, &piece, bytes)? {
-                Taken::More => {}
-                Taken::End => {
-                    if let Ok(None) = line.chunk(job.bounds.silence).await {
-                        line.keep();
+            match accept_piece(core, job, &piece, bytes)? {
+                StreamProgress::More => {}
+                StreamProgress::End => {
+                    if let Ok(None) = conn.chunk(job.limits.idle_timeout).await {
+                        conn.release();
                     }
                     return Ok(());
                 }
@@ -216,15 +227,20 @@
     }
 }
 
-fn take_piece(core: &Core, job: &Job, piece: &Piece, bytes: usize) -> Result<Taken, Fault> {
+fn accept_piece(
+    core: &Core,
+    job: &Job,
+    piece: &Piece,
+    bytes: usize,
+) -> Result<StreamProgress, Fault> {
     let call = &job.call;
-    let own =
+    let matches =
         piece.request == call.request && piece.stage == call.stage && piece.attempt == call.attempt;
-    if !own {
-        core.mismatch(job, &piece.request);
+    if !matches {
+        core.report_mismatch(job, &piece.request);
         return Err(Fault::Mismatch);
     }
-    core.piece(job, piece, (bytes + call.input.len()) as u64)
+    core.accept_piece(job, piece, (bytes + call.input.len()) as u64)
 }
 
 fn split_line(buffer: &mut BytesMut) -> Option<Bytes> {
--- a/crates/entry/src/caller.rs
+++ b/crates/entry/src/caller.rs
@@ -1,4 +1,5 @@
-//! Callers' requests over HTTP.
+//! HTTP interface for callers: parses and checks their requests, and returns the answer either
+//! whole or as a stream of server-sent events.
 
 use base::{Key, Ms, WorkspaceId};
 use bytes::Bytes;
@@ -14,87 +15,94 @@
 use tokio::time::timeout;
 use wire::Ask;
 
-use crate::core::{Asked, Core};
+use crate::core::{CheckedRequest, Core};
 use crate::error::CallerError;
 use crate::problem;
-use crate::ticket::{Reply, Ticket};
+use crate::reply::{Reply, ReplyReceiver};
 
-/// Path before a pipeline's name.
-const PIPELINES: &str = "/v1/pipelines/";
-/// Path before the identifier of a request whose stream a caller comes back for.
-const REQUESTS: &str = "/v1/requests/";
-/// Header of a caller that sent its key before.
-const RESENT: &str = "x-resent";
-/// Longest deadline that a caller may ask for.
-const DEADLINE_MOST: Ms = Ms::secs(600);
+/// Path prefix of a request to a pipeline; the pipeline's name follows.
+const PIPELINES_PATH: &str = "/v1/pipelines/";
+/// Path prefix for resuming a stream; the request's identifier follows.
+const REQUESTS_PATH: &str = "/v1/requests/";
+/// Header with which a caller says that it has sent this idempotency key before.
+const RESENT_HEADER: &str = "x-resent";
+/// Longest deadline that a caller may set; longer ones are shortened to it.
+const MAX_DEADLINE: Ms = Ms::secs(600);
 
-/// Answers callers.
-pub(crate) struct Callers {
+/// Handles callers' requests.
+pub(crate) struct CallerHandler {
     pub(crate) core: Arc<Core>,
 }
 
-impl Handler for Callers {
+impl Handler for CallerHandler {
     async fn handle(
         self: Arc<Self>,
         request: Request<Incoming>,
         _peer: SocketAddr,
     ) -> Response<Body> {
-        let events = wants_events(request.headers());
-        let doubt = request.headers().get(RESENT).is_some_and(|v| v == "true");
-        if let Some(id) = request.uri().path().strip_prefix(REQUESTS) {
-            return match resumed(&self.core, id, &request) {
-                Ok(ticket) => event_stream(ticket),
+        let as_events = wants_events(request.headers());
+        let uncertain = request.headers().get(RESENT_HEADER).is_some_and(|v| v == "true");
+        if let Some(id) = request.uri().path().strip_prefix(REQUESTS_PATH) {
+            return match resume(&self.core, id, &request) {
+                Ok(replies) => event_stream(replies),
                 Err(err) => self.malformed(&err, true),
             };
         }
-        match asked(&self.core, request, events).await {
-            Ok(asked) if events => event_stream(self.core.arrive(asked)),
-            Ok(asked) => whole(self.core.arrive(asked)).await,
-            Err(err) => self.malformed(&err, doubt),
+        match parse_request(&self.core, request, as_events).await {
+            Ok(checked) if as_events => event_stream(self.core.submit(checked)),
+            Ok(checked) => full_response(self.core.submit(checked)).await,
+            Err(err) => self.malformed(&err, uncertain),
         }
     }
 }
 
-impl Callers {
-    fn malformed(&self, err: &CallerError, doubt: bool) -> Response<Body> {
+impl CallerHandler {
+    fn malformed(&self, err: &CallerError, uncertain: bool) -> Response<Body> {
         note!(Event::RequestMalformed, code = err.code());
         self.core.metrics().malformed(err.code());
-        problem::caller(err, doubt)
+        problem::invalid_request(err, uncertain)
     }
 }
 
-/// A caller comes back for its stream: `GET /v1/requests/ID?offset=N`, with N the id of the last
-/// event that it read.
-fn resumed(core: &Core, id: &str, request: &Request<Incoming>) -> Result<Ticket, CallerError> {
+/// Resumes a stream after the caller reconnected: `GET /v1/requests/ID?offset=N`, where N is the id
+/// of the last event that the caller read.
+fn resume(
+    core: &Core,
+    id: &str,
+    request: &Request<Incoming>,
+) -> Result<ReplyReceiver, CallerError> {
     let id = id.parse().map_err(|_| CallerError::UnknownRequest)?;
-    let workspace = text(request.headers(), "x-workspace")?.ok_or(CallerError::NoWorkspace)?;
+    let workspace =
+        header_text(request.headers(), "x-workspace")?.ok_or(CallerError::NoWorkspace)?;
     let query = request.uri().query().unwrap_or("offset=0");
     let offset = query.strip_prefix("offset=").and_then(|n| n.parse().ok());
     core.resume(id, workspace, offset.ok_or(CallerError::Offset)?)
 }
 
-async fn whole(mut ticket: Ticket) -> Response<Body> {
-    let request = ticket.request();
+/// Waits for the end of the request and returns its answer as one response.
+async fn full_response(mut replies: ReplyReceiver) -> Response<Body> {
+    let request = replies.request();
     loop {
-        match ticket.next().await {
+        match replies.next().await {
             Some(Reply::Piece { .. }) => {}
             Some(Reply::Whole(answer)) => return json(StatusCode::OK, &answer),
             Some(Reply::Refused(refusal)) => return problem::refused(request, &refusal),
-            None => return problem::caller(&CallerError::NotReady, true),
+            None => return problem::invalid_request(&CallerError::NotReady, true),
         }
     }
 }
 
-/// Server-sent events: `piece` with its offset as the event's id, then one `end` or `problem`.
-/// A stream without either was cut.
-fn event_stream(mut ticket: Ticket) -> Response<Body> {
+/// Returns the replies as server-sent events: any number of `piece` events, then one `end` or
+/// `problem`. A stream that ends without either is incomplete. The id of a `piece` is the offset at
+/// which the next piece starts.
+fn event_stream(mut replies: ReplyReceiver) -> Response<Body> {
     let (tx, rx) = mpsc::channel(16);
-    let request = ticket.request();
+    let request = replies.request();
     tokio::spawn(async move {
         loop {
-            // A caller that has gone is noticed while nothing comes for it, too.
+            // Also detects that the caller disconnected while there is no reply to send.
             let reply = tokio::select! {
-                reply = ticket.next() => reply,
+                reply = replies.next() => reply,
                 () = tx.closed() => return,
             };
             let event = match reply {
@@ -129,12 +137,13 @@
     response
 }
 
-async fn asked(
+/// Reads and checks a caller's request against the configuration in force.
+async fn parse_request(
     core: &Core,
     request: Request<Incoming>,
     resumable: bool,
-) -> Result<Asked, CallerError> {
-    let name = request.uri().path().strip_prefix(PIPELINES).ok_or(CallerError::NoSuchPath)?;
+) -> Result<CheckedRequest, CallerError> {
+    let name = request.uri().path().strip_prefix(PIPELINES_PATH).ok_or(CallerError::NoSuchPath)?;
     if request.method() != Method::POST {
         return Err(CallerError::Method);
     }
@@ -142,28 +151,38 @@
     let unknown = || CallerError::UnknownPipeline(name.to_owned());
     let pipeline = plan.pipeline(name).ok_or_else(unknown)?;
     let headers = request.headers();
-    let workspace = text(headers, "x-workspace")?.ok_or(CallerError::NoWorkspace)?;
+    let workspace = header_text(headers, "x-workspace")?.ok_or(CallerError::NoWorkspace)?;
     let unknown = || CallerError::UnknownWorkspace(workspace.to_owned());
     let space = plan.workspace(workspace).ok_or_else(unknown)?;
     let workspace = WorkspaceId::from(workspace);
     let priority = priority(headers)?;
-    let key = text(headers, "idempotency-key")?.map(Key::parse).transpose()?;
+    let key = header_text(headers, "idempotency-key")?.map(Key::parse).transpose()?;
     if key.is_none() && plan.once(pipeline) {
         return Err(CallerError::KeyNeeded);
     }
-    let resent = text(headers, RESENT)?.is_some_and(|v| v == "true");
+    let resent = header_text(headers, RESENT_HEADER)?.is_some_and(|v| v == "true");
     let now = core.now();
-    let span = match deadline(headers)? {
+    let time_left = match deadline(headers)? {
         Some(Ms(0)) => return Err(CallerError::DeadlinePast),
-        Some(span) => span.min(DEADLINE_MOST),
+        Some(time_left) => time_left.min(MAX_DEADLINE),
         None => plan.effective(space, pipeline, now).deadline_ms.0,
     };
-    let ask = ask(core, request).await?;
-    let deadline = now + span;
-    Ok(Asked { ask, workspace, plan, pipeline, priority, deadline, key, resent, resumable })
+    let ask = read_body(core, request).await?;
+    let deadline = now + time_left;
+    Ok(CheckedRequest {
+        ask,
+        workspace,
+        plan,
+        pipeline,
+        priority,
+        deadline,
+        key,
+        resent,
+        resumable,
+    })
 }
 
-async fn ask(core: &Core, request: Request<Incoming>) -> Result<Ask, CallerError> {
+async fn read_body(core: &Core, request: Request<Incoming>) -> Result<Ask, CallerError> {
     let limits = &core.settings().limits;
     let body = read(request.into_body(), limits.body_bytes);
     let body = timeout(limits.read_ms.duration(), body).await;
@@ -179,19 +198,22 @@
     accept.is_some_and(|v| v.contains("text/event-stream"))
 }
 
-fn text<'a>(headers: &'a HeaderMap, name: &'static str) -> Result<Option<&'a str>, CallerError> {
+fn header_text<'a>(
+    headers: &'a HeaderMap,
+    name: &'static str,
+) -> Result<Option<&'a str>, CallerError> {
     let Some(value) = headers.get(name) else { return Ok(None) };
     value.to_str().map(Some).map_err(|_| CallerError::Header(name, "give plain text"))
 }
 
 fn deadline(headers: &HeaderMap) -> Result<Option<Ms>, CallerError> {
-    let Some(value) = text(headers, "x-deadline-ms")? else { return Ok(None) };
+    let Some(value) = header_text(headers, "x-deadline-ms")? else { return Ok(None) };
     let wrong = |_| CallerError::Header("x-deadline-ms", "give whole milliseconds from now");
     value.parse().map(|ms| Some(Ms(ms))).map_err(wrong)
 }
 
 fn priority(headers: &HeaderMap) -> Result<Option<Priority>, CallerError> {
-    match text(headers, "x-priority")? {
+    match header_text(headers, "x-priority")? {
         None => Ok(None),
         Some("low") => Ok(Some(Priority::Low)),
         Some("normal") => Ok(Some(Priority::Normal)),
--- a/crates/entry/src/claims.rs
+++ b/crates/entry/src/claims.rs
@@ -1,4 +1,4 @@
-//! Other hosts' claims, answered by this host's journal.
+//! Serves idempotency-key claims of other hosts from this host's journal.
 
 use async_trait::async_trait;
 use journal::Sharded;
@@ -6,7 +6,7 @@
 use std::sync::Arc;
 use wire::{Claim, Finish, Grant};
 
-/// The answering side of the journal.
+/// Server side of the journal's peer protocol.
 pub(crate) struct JournalClaims(pub(crate) Arc<Sharded>);
 
 #[async_trait]
--- a/crates/entry/src/core.rs
+++ b/crates/entry/src/core.rs
@@ -1,4 +1,5 @@
-//! The reducer with what it decides about, under one lock, and the effects carried out.
+//! The core of an entry host: feeds events to the policy's reducer and executes the effects that it
+//! returns. The reducer and the requests share one lock.
 
 use base::{Clock, Key, Ms, RequestId, WorkspaceId};
 use conf::{Plan, Priority, Settings};
@@ -13,121 +14,122 @@
 use tokio::sync::mpsc;
 use wire::Ask;
 
-use crate::dial::Dial;
+use crate::active::{ActiveRequest, StreamBuffer};
+use crate::connector::Connector;
 use crate::error::CallerError;
 use crate::metrics::Metrics;
-use crate::open::{Held, Open};
 use crate::outbox::Outbox;
-use crate::ticket::Ticket;
+use crate::reply::ReplyReceiver;
 
-/// What a caller asked for, read and checked.
-pub struct Asked {
-    /// The body.
+/// A caller's request after parsing and validation.
+pub struct CheckedRequest {
+    /// The body of the request.
     pub ask: Ask,
-    /// Whose it is; declared in `plan`.
+    /// The workspace of the request, declared in `plan`.
     pub workspace: WorkspaceId,
-    /// The configuration that it is served by to its end.
+    /// The configuration that applies to the request until it ends.
     pub plan: Arc<Plan>,
     /// Index of the pipeline in `plan`.
     pub pipeline: usize,
-    /// The caller's priority, if it gave one.
+    /// The priority, if the caller set one.
     pub priority: Option<Priority>,
     /// When the answer is due.
     pub deadline: Ms,
-    /// The key of work that may not be repeated.
+    /// The idempotency key, required for non-repeatable work.
     pub key: Option<Key>,
-    /// Whether the caller says that it sent the key before.
+    /// Whether the caller says that it has sent the key before.
     pub resent: bool,
-    /// Whether the caller may come back for the rest after its connection broke.
+    /// Whether the caller may reconnect for the rest after its connection broke.
     pub resumable: bool,
 }
 
-/// Decisions and their effects.
+/// Applies events to the reducer and executes its effects.
 pub struct Core {
-    pub(crate) me: Weak<Core>,
+    pub(crate) weak_self: Weak<Core>,
     pub(crate) settings: Settings,
     pub(crate) clock: Arc<dyn Clock>,
     pub(crate) journal: Arc<dyn Journal>,
-    dial: Arc<dyn Dial>,
+    connector: Arc<dyn Connector>,
     ids: Box<dyn Fn() -> RequestId + Send + Sync>,
     pub(crate) metrics: Metrics,
-    pub(crate) tells: mpsc::UnboundedSender<Tell>,
-    pub(crate) wakes: mpsc::UnboundedSender<Ms>,
-    /// Keyed requests that wait for the journal: to be registered, or for their end's record.
-    pub(crate) finishing: AtomicUsize,
-    /// Poison marks made here or heard from other hosts.
-    pub(crate) poison: AtomicUsize,
+    pub(crate) announcements: mpsc::UnboundedSender<Tell>,
+    pub(crate) wakeups: mpsc::UnboundedSender<Ms>,
+    /// Journal operations under way for requests with a key: registering the key, or recording the
+    /// outcome.
+    pub(crate) journal_pending: AtomicUsize,
+    /// Poison marks made on this host or received from others, so far.
+    pub(crate) poison_marks: AtomicUsize,
     pub(crate) state: Mutex<State>,
 }
 
-/// One lock for the reducer and the requests, so that effects are carried out in the order in
+/// The reducer and the requests. They share one lock so that effects are executed in the order in
 /// which they were decided: a cancel that overtook its send would leave the target busy.
 pub(crate) struct State {
     pub(crate) reducer: Box<dyn Reducer>,
     pub(crate) plan: Option<Arc<Plan>>,
-    pub(crate) open: HashMap<RequestId, Open>,
-    pub(crate) kept: HashMap<RequestId, Kept>,
+    pub(crate) active: HashMap<RequestId, ActiveRequest>,
+    pub(crate) ended: HashMap<RequestId, EndedRequest>,
     pub(crate) draining: bool,
     pub(crate) effects: Vec<Effect>,
 }
 
-/// Replies of a request that ended while its caller's connection was gone.
-pub(crate) struct Kept {
+/// Replies of a request that ended while its caller was disconnected, held until `until`.
+pub(crate) struct EndedRequest {
     pub(crate) workspace: WorkspaceId,
     pub(crate) outbox: Outbox,
     pub(crate) until: Ms,
 }
 
-/// What a core reaches the world through.
-pub struct Outlets {
-    /// Time.
+/// Dependencies of a core: everything through which it acts outside its own state.
+pub struct CoreDeps {
+    /// The source of time.
     pub clock: Arc<dyn Clock>,
-    /// Records of work that may not be repeated.
+    /// Records of non-repeatable work.
     pub journal: Arc<dyn Journal>,
-    /// Targets.
-    pub dial: Arc<dyn Dial>,
-    /// Identifiers of requests, each given once.
+    /// Connections to targets.
+    pub connector: Arc<dyn Connector>,
+    /// Generates request identifiers, each unique.
     pub ids: Box<dyn Fn() -> RequestId + Send + Sync>,
-    /// What other hosts are to be told.
-    pub tells: mpsc::UnboundedSender<Tell>,
-    /// When [`Core::tick`] is to be called next, at the latest.
-    pub wakes: mpsc::UnboundedSender<Ms>,
+    /// Messages to be announced to the other hosts.
+    pub announcements: mpsc::UnboundedSender<Tell>,
+    /// Times at which [`Core::tick`] has to be called at the latest.
+    pub wakeups: mpsc::UnboundedSender<Ms>,
 }
 
 impl Core {
-    /// A core without any request.
+    /// Creates a core without requests.
     pub fn new(
         settings: &Settings,
         reducer: Box<dyn Reducer>,
-        outlets: Outlets,
+        deps: CoreDeps,
     ) -> Result<Arc<Self>, OTelSdkError> {
         let metrics = Metrics::new()?;
-        Ok(Self::with_metrics(settings, reducer, metrics, outlets))
+        Ok(Self::with_metrics(settings, reducer, metrics, deps))
     }
 
     fn with_metrics(
         settings: &Settings,
         reducer: Box<dyn Reducer>,
         metrics: Metrics,
-        outlets: Outlets,
+        deps: CoreDeps,
     ) -> Arc<Self> {
-        Arc::new_cyclic(|me| Self {
-            me: me.clone(),
+        Arc::new_cyclic(|weak_self| Self {
+            weak_self: weak_self.clone(),
             settings: settings.clone(),
-            clock: outlets.clock,
-            journal: outlets.journal,
-            dial: outlets.dial,
-            ids: outlets.ids,
+            clock: deps.clock,
+            journal: deps.journal,
+            connector: deps.connector,
+            ids: deps.ids,
             metrics,
-            tells: outlets.tells,
-            wakes: outlets.wakes,
-            finishing: AtomicUsize::new(0),
-            poison: AtomicUsize::new(0),
+            announcements: deps.announcements,
+            wakeups: deps.wakeups,
+            journal_pending: AtomicUsize::new(0),
+            poison_marks: AtomicUsize::new(0),
             state: Mutex::new(State {
                 reducer,
                 plan: None,
-                open: HashMap::new(),
-                kept: HashMap::new(),
+                active: HashMap::new(),
+                ended: HashMap::new(),
                 draining: false,
                 effects: Vec::new(),
             }),
@@ -142,87 +144,87 @@
         &self.metrics
     }
 
-    pub(crate) fn dial(&self) -> &dyn Dial {
-        self.dial.as_ref()
+    pub(crate) fn connector(&self) -> &dyn Connector {
+        self.connector.as_ref()
     }
 
-    /// The time of this host.
+    /// The current time on this host.
     pub fn now(&self) -> Ms {
         self.clock.now()
     }
 
-    /// The configuration in force here.
+    /// The configuration in force on this host.
     pub fn plan(&self) -> Option<Arc<Plan>> {
         self.lock().plan.clone()
     }
 
-    /// Whether new requests are taken.
+    /// Whether new requests are accepted: a configuration is in force and the host is not draining.
     pub(crate) fn ready(&self) -> bool {
         let state = self.lock();
         state.plan.is_some() && !state.draining
     }
 
-    /// Requests under way, and those that wait for the journal.
-    pub fn open(&self) -> usize {
-        self.lock().open.len() + self.finishing.load(Ordering::Relaxed)
+    /// Number of requests under way plus journal operations under way.
+    pub fn active_count(&self) -> usize {
+        self.lock().active.len() + self.journal_pending.load(Ordering::Relaxed)
     }
 
-    /// Poison marks made here or heard from other hosts, so far.
-    pub(crate) fn poison(&self) -> usize {
-        self.poison.load(Ordering::Relaxed)
+    /// Poison marks made on this host or received from others, so far.
+    pub(crate) fn poison_marks(&self) -> usize {
+        self.poison_marks.load(Ordering::Relaxed)
     }
 
-    /// Takes a request in.
-    pub fn arrive(&self, asked: Asked) -> Ticket {
-        let core = self.me.upgrade().expect("the core is alive while it is called");
+    /// Submits a request to the reducer and returns the receiver of its replies.
+    pub fn submit(&self, checked: CheckedRequest) -> ReplyReceiver {
+        let core = self.weak_self.upgrade().expect("the core is alive while it is called");
         let now = self.now();
         let request = (self.ids)();
         let (caller, replies) = mpsc::unbounded_channel();
-        let pipeline = asked.plan.pipeline_name(asked.pipeline).clone();
+        let pipeline = checked.plan.pipeline_name(checked.pipeline).clone();
         let arrival = Arrival {
             request,
-            workspace: asked.workspace.clone(),
+            workspace: checked.workspace.clone(),
             pipeline: pipeline.clone(),
-            priority: asked.priority,
-            deadline: asked.deadline,
-            tokens_in: asked.ask.input.len().div_ceil(4) as u32,
-            max_tokens: asked.ask.max_tokens,
-            prefix: prefix_hash(&asked.ask.prefix),
+            priority: checked.priority,
+            deadline: checked.deadline,
+            tokens_in: checked.ask.input.len().div_ceil(4) as u32,
+            max_tokens: checked.ask.max_tokens,
+            prefix: prefix_hash(&checked.ask.prefix),
             fingerprint: base::hash_parts(&[
-                asked.workspace.as_str().as_bytes(),
+                checked.workspace.as_str().as_bytes(),
                 pipeline.as_str().as_bytes(),
-                asked.ask.input.as_bytes(),
+                checked.ask.input.as_bytes(),
             ]),
-            keyed: asked.key.is_some(),
-            resent: asked.resent,
+            keyed: checked.key.is_some(),
+            resent: checked.resent,
         };
-        let open = Open {
-            plan: asked.plan,
-            pipeline: asked.pipeline,
-            workspace: asked.workspace,
-            priority: asked.priority.unwrap_or_default() as u32,
-            key: asked.key,
-            ask: asked.ask,
+        let active = ActiveRequest {
+            plan: checked.plan,
+            pipeline: checked.pipeline,
+            workspace: checked.workspace,
+            priority: checked.priority.unwrap_or_default() as u32,
+            key: checked.key,
+            ask: checked.ask,
             arrived: now,
-            outbox: Outbox::new(caller, asked.resumable),
+            outbox: Outbox::new(caller, checked.resumable),
             region: self.settings.region.clone(),
             replay: None,
             costs: Vec::new(),
             stage: 0,
             output: String::new(),
             ready: now,
-            held: Held::default(),
+            buffer: StreamBuffer::default(),
             attempts: HashMap::new(),
         };
         let mut state = self.lock();
-        state.open.insert(request, open);
+        state.active.insert(request, active);
         self.reduce(&mut state, Event::Arrive(arrival));
         drop(state);
-        Ticket::new(core, request, 0, replies)
+        ReplyReceiver::new(core, request, 0, replies)
     }
 
-    /// Feeds an event that concerns no text.
-    pub fn feed(&self, event: Event) {
+    /// Applies an event that carries no request or response text.
+    pub fn handle_event(&self, event: Event) {
         let mut state = self.lock();
         match &event {
             Event::Config(plan) => {
@@ -230,48 +232,51 @@
                 state.plan = Some(plan.clone());
             }
             Event::Drain => state.draining = true,
-            Event::Poisoned { .. } => _ = self.poison.fetch_add(1, Ordering::Relaxed),
+            Event::Poisoned { .. } => _ = self.poison_marks.fetch_add(1, Ordering::Relaxed),
             _ => {}
         }
         self.reduce(&mut state, event);
     }
 
-    /// A caller's connection has gone.
+    /// Handles the end of a caller's connection. `epoch` tells which connection of the request
+    /// ended.
     pub(crate) fn detach(&self, request: RequestId, epoch: u32) {
         let now = self.now();
         let mut state = self.lock();
-        let open = state.open.get_mut(&request);
-        if open.is_some_and(|o| o.outbox.detach(epoch, now)) {
+        let active = state.active.get_mut(&request);
+        if active.is_some_and(|o| o.outbox.detach(epoch, now)) {
             self.reduce(&mut state, Event::Gone { request });
         }
     }
 
-    /// A caller came back for the rest of its stream, from token `offset` on.
+    /// Reattaches a caller to its stream, from token `offset` on. Fails if the request is unknown
+    /// or belongs to another workspace, or if no piece ends at the offset.
     pub fn resume(
         &self,
         request: RequestId,
         workspace: &str,
         offset: u32,
-    ) -> Result<Ticket, CallerError> {
-        let core = self.me.upgrade().expect("the core is alive while it is called");
+    ) -> Result<ReplyReceiver, CallerError> {
+        let core = self.weak_self.upgrade().expect("the core is alive while it is called");
         let mut state = self.lock();
-        let State { open, kept, .. } = &mut *state;
-        let open = open.get_mut(&request).map(|o| (&o.workspace, &mut o.outbox));
-        let kept = kept.get_mut(&request).map(|k| (&k.workspace, &mut k.outbox));
-        let found = open.or(kept).filter(|(owner, _)| owner.as_str() == workspace);
+        let State { active, ended, .. } = &mut *state;
+        let active = active.get_mut(&request).map(|o| (&o.workspace, &mut o.outbox));
+        let ended = ended.get_mut(&request).map(|k| (&k.workspace, &mut k.outbox));
+        let found = active.or(ended).filter(|(owner, _)| owner.as_str() == workspace);
         let (_, outbox) = found.ok_or(CallerError::UnknownRequest)?;
         let (caller, replies) = mpsc::unbounded_channel();
         let epoch = outbox.attach(offset, caller).ok_or(CallerError::Offset)?;
-        Ok(Ticket::new(core, request, epoch, replies))
+        Ok(ReplyReceiver::new(core, request, epoch, replies))
     }
 
-    /// Time has passed: callers that didn't come back are given up on.
+    /// Gives up on requests whose caller did not reconnect in time, drops expired replies and lets
+    /// the reducer handle its timers.
     pub fn tick(&self) {
         let now = self.now();
-        let most = self.settings.limits.resume_ms;
+        let max_detached = self.settings.limits.resume_ms;
         let mut state = self.lock();
-        state.kept.retain(|_, kept| now < kept.until);
-        let abandoned = state.open.iter().filter(|(_, o)| o.outbox.abandoned(now, most));
+        state.ended.retain(|_, ended| now < ended.until);
+        let abandoned = state.active.iter().filter(|(_, o)| o.outbox.abandoned(now, max_detached));
         let abandoned: Vec<RequestId> = abandoned.map(|(&request, _)| request).collect();
         for request in abandoned {
             self.reduce(&mut state, Event::Gone { request });
@@ -287,13 +292,13 @@
         let mut effects = std::mem::take(&mut state.effects);
         state.reducer.reduce(self.now(), event, &mut effects);
         for effect in effects.drain(..) {
-            self.carry_out(state, effect);
+            self.execute(state, effect);
         }
         state.effects = effects;
     }
 }
 
-/// Hash of a caller's prefix key; zero for none.
+/// Hash of a caller's prefix key. Zero means that there is none.
 fn prefix_hash(prefix: &str) -> u64 {
     match prefix {
         "" => 0,
--- a/crates/entry/src/effects.rs
+++ b/crates/entry/src/effects.rs
@@ -1,4 +1,4 @@
-//! The reducer's effects, carried out.
+//! Executes the effects that the reducer returns.
 
 use base::{Attempt, Ms, RequestId, TargetId};
 use gossip::Tell;
@@ -8,31 +8,32 @@
 use std::sync::atomic::Ordering;
 use wire::{Answer, StageCall};
 
+use crate::active::{ActiveRequest, Running};
 use crate::attempt::{self, Job};
-use crate::core::{Core, Kept, State};
-use crate::dial::Bounds;
-use crate::open::{Open, Running};
+use crate::connector::CallLimits;
+use crate::core::{Core, EndedRequest, State};
 use crate::problem;
-use crate::ticket::Reply;
+use crate::reply::Reply;
 
-/// Wait before how a keyed request ended is recorded again; it doubles up to the longest.
-const FINISH_WAIT: Ms = Ms(100);
-/// Longest such wait.
-const FINISH_WAIT_MOST: Ms = Ms::secs(5);
-/// Ended requests that are kept for callers who may come back.
-const KEPT: usize = 1024;
+/// First delay before retrying to record the outcome of a request with a key. It doubles with each
+/// retry.
+const FINISH_RETRY_MIN: Ms = Ms(100);
+/// Longest delay between these retries.
+const FINISH_RETRY_MAX: Ms = Ms::secs(5);
+/// Most ended requests whose replies are held for callers that may reconnect.
+const MAX_ENDED: usize = 1024;
 
 impl Core {
-    pub(crate) fn carry_out(&self, state: &mut State, effect: Effect) {
+    pub(crate) fn execute(&self, state: &mut State, effect: Effect) {
         match effect {
             Effect::Register { request } => self.register(state, request),
             Effect::Send { request, stage, attempt, target, offset, budget } => {
-                debug_assert!(state.open.get(&request).is_none_or(|o| o.stage == stage));
+                debug_assert!(state.active.get(&request).is_none_or(|o| o.stage == stage));
                 self.send(state, request, attempt, &target, offset, budget);
             }
             Effect::Cancel { request, attempt, .. } => {
-                let open = state.open.get_mut(&request);
-                if let Some(running) = open.and_then(|o| o.attempts.remove(&attempt)) {
+                let active = state.active.get_mut(&request);
+                if let Some(running) = active.and_then(|o| o.attempts.remove(&attempt)) {
                     running.task.abort();
                 }
             }
@@ -40,10 +41,10 @@
             Effect::Answer { request, verdict } => self.answer(state, request, verdict),
             Effect::Poison { fingerprint, until } => {
                 note!(logs::Event::PoisonFound, fingerprint);
-                self.poison.fetch_add(1, Ordering::Relaxed);
-                let _ = self.tells.send(Tell::Poison { fingerprint, until });
+                self.poison_marks.fetch_add(1, Ordering::Relaxed);
+                let _ = self.announcements.send(Tell::Poison { fingerprint, until });
             }
-            Effect::Wake { at } => _ = self.wakes.send(at),
+            Effect::Wake { at } => _ = self.wakeups.send(at),
         }
     }
 
@@ -56,27 +57,28 @@
         offset: u32,
         budget: Ms,
     ) {
-        let Some(core) = self.me.upgrade() else { return };
-        let Some(open) = state.open.get_mut(&request) else { return };
-        let stage = open.stage;
-        let plan_stage = open.plan_stage(stage);
-        let addr = open.plan.target(target).and_then(|t| open.plan.targets[t].address.parse().ok());
+        let Some(core) = self.weak_self.upgrade() else { return };
+        let Some(active) = state.active.get_mut(&request) else { return };
+        let stage = active.stage;
+        let plan_stage = active.plan_stage(stage);
+        let addr =
+            active.plan.target(target).and_then(|t| active.plan.targets[t].address.parse().ok());
         let call = StageCall {
             request: request.to_string(),
             stage: plan_stage.name.to_string(),
             attempt: attempt.0,
             model: plan_stage.model.as_ref().map(ToString::to_string).unwrap_or_default(),
-            input: open.input(),
-            max_tokens: open.max_tokens(),
-            prefix: open.ask.prefix.clone(),
+            input: active.input(),
+            max_tokens: active.max_tokens(),
+            prefix: active.ask.prefix.clone(),
             offset,
-            resumed: open.held.text.clone(),
+            resumed: active.buffer.text.clone(),
             budget_ms: budget.0,
-            priority: open.priority,
-            workspace: open.workspace.to_string(),
+            priority: active.priority,
+            workspace: active.workspace.to_string(),
             key: match plan_stage.repeatable {
                 true => String::new(),
-                false => open.key.map(|k| k.to_string()).unwrap_or_default(),
+                false => active.key.map(|k| k.to_string()).unwrap_or_default(),
             },
         };
         let job = Job {
@@ -86,73 +88,80 @@
             call,
             stream: plan_stage.stream,
             repeatable: plan_stage.repeatable,
-            // A checked plan has only addresses that parse, and targets of its own.
+            // Validation of the plan guarantees that the target is in it and that its address
+            // parses.
             addr: addr.unwrap_or(self.settings.listen),
-            bounds: Bounds {
-                silence: self.settings.silence.target_ms,
-                limit: self.settings.limits.answer_bytes,
+            limits: CallLimits {
+                idle_timeout: self.settings.silence.target_ms,
+                max_bytes: self.settings.limits.answer_bytes,
             },
         };
         let task = tokio::spawn(attempt::run(core, job)).abort_handle();
         let running = Running { target: target.clone(), sent: self.now(), task };
-        open.attempts.insert(attempt, running);
+        active.attempts.insert(attempt, running);
     }
 
     fn register(&self, state: &mut State, request: RequestId) {
-        let Some(core) = self.me.upgrade() else { return };
-        let Some(claim) = state.open.get(&request).and_then(|o| claim(request, o)) else { return };
-        self.finishing.fetch_add(1, Ordering::Relaxed);
+        let Some(core) = self.weak_self.upgrade() else { return };
+        let Some(claim) = state.active.get(&request).and_then(|o| claim(request, o)) else {
+            return;
+        };
+        self.journal_pending.fetch_add(1, Ordering::Relaxed);
         tokio::spawn(async move {
             let granted = core.journal.register(&claim).await;
-            if let Some(unused) = core.registered(request, granted) {
-                core.record(&claim, unused).await;
+            if let Some(unused) = core.handle_grant(request, granted) {
+                core.record_outcome(&claim, unused).await;
             }
-            core.finishing.fetch_sub(1, Ordering::Relaxed);
+            core.journal_pending.fetch_sub(1, Ordering::Relaxed);
         });
     }
 
-    /// Takes the journal's answer. A grant whose request was answered meanwhile, because its
-    /// deadline passed, is never used; it is given back, or the key would seem to run for ever.
-    fn registered(&self, request: RequestId, granted: Granted) -> Option<Outcome> {
+    /// Applies the journal's answer to a registration.
+    ///
+    /// If the request was answered meanwhile because its deadline passed, the grant will never be
+    /// used. It is then released: otherwise the key would appear to be running for ever.
+    fn handle_grant(&self, request: RequestId, granted: Granted) -> Option<Outcome> {
         let mut state = self.lock();
-        let (grant, replay) = grant(granted);
-        let unused = grant == Grant::Granted && !state.open.contains_key(&request);
-        if let Some(open) = state.open.get_mut(&request) {
-            open.replay = replay;
+        let (grant, replay) = grant_of(granted);
+        let unused = grant == Grant::Granted && !state.active.contains_key(&request);
+        if let Some(active) = state.active.get_mut(&request) {
+            active.replay = replay;
         }
         self.reduce(&mut state, Event::Registered { request, grant });
         unused.then_some(Outcome::Released)
     }
 
     fn finish(&self, state: &mut State, request: RequestId, ending: Ending) {
-        let Some(core) = self.me.upgrade() else { return };
-        let Some(open) = state.open.get(&request) else { return };
-        let Some(claim) = claim(request, open) else { return };
+        let Some(core) = self.weak_self.upgrade() else { return };
+        let Some(active) = state.active.get(&request) else { return };
+        let Some(claim) = claim(request, active) else { return };
         let outcome = match ending {
-            Ending::Done => Outcome::Done(open.answer(&request.to_string())),
+            Ending::Done => Outcome::Done(active.answer(&request.to_string())),
             Ending::Released => Outcome::Released,
             Ending::Lost => Outcome::Lost,
         };
-        self.finishing.fetch_add(1, Ordering::Relaxed);
+        self.journal_pending.fetch_add(1, Ordering::Relaxed);
         tokio::spawn(async move {
-            core.record(&claim, outcome).await;
-            core.finishing.fetch_sub(1, Ordering::Relaxed);
+            core.record_outcome(&claim, outcome).await;
+            core.journal_pending.fetch_sub(1, Ordering::Relaxed);
         });
     }
 
-    /// Records how a keyed request ended, however long the platform is away: until then re-sends
-    /// of the key are told `running` or `unknown` though the answer is here.
-    async fn record(&self, claim: &Claim, outcome: Outcome) {
-        let mut wait = FINISH_WAIT;
-        let end = self.now() + self.settings.journal.window_ms;
-        while self.now() < end {
+    /// Records the outcome of a request with a key, retrying until the journal's window for the key
+    /// has passed. Until the record is written, callers that send the key again are told `running`
+    /// or `unknown` although this host has the answer; so it keeps trying however long the platform
+    /// is unavailable.
+    async fn record_outcome(&self, claim: &Claim, outcome: Outcome) {
+        let mut wait = FINISH_RETRY_MIN;
+        let give_up_at = self.now() + self.settings.journal.window_ms;
+        while self.now() < give_up_at {
             match self.journal.finish(claim, outcome.clone()).await {
                 Ok(()) => return,
                 Err(JournalError::NotHolder) => break,
                 Err(JournalError::Unavailable) => {
                     note!(logs::Event::FinishRetried, request = %claim.attempt);
                     tokio::time::sleep(wait.duration()).await;
-                    wait = (wait + wait).min(FINISH_WAIT_MOST);
+                    wait = (wait + wait).min(FINISH_RETRY_MAX);
                 }
             }
         }
@@ -160,44 +169,44 @@
     }
 
     fn answer(&self, state: &mut State, request: RequestId, verdict: Verdict) {
-        let Some(mut open) = state.open.remove(&request) else { return };
-        for running in open.attempts.values() {
+        let Some(mut active) = state.active.remove(&request) else { return };
+        for running in active.attempts.values() {
             running.task.abort();
         }
-        let pipeline = open.plan.pipeline_name(open.pipeline).as_str();
-        let took = self.now() - open.arrived;
+        let pipeline = active.plan.pipeline_name(active.pipeline).as_str();
+        let elapsed = self.now() - active.arrived;
         let reply = match verdict {
             Verdict::Done => {
-                self.metrics.answered(pipeline, "whole", took);
-                Reply::Whole(open.answer(&request.to_string()))
+                self.metrics.answered(pipeline, "whole", elapsed);
+                Reply::Whole(active.answer(&request.to_string()))
             }
             Verdict::Replayed => {
-                self.metrics.answered(pipeline, "replayed", took);
-                let kept = open.replay.take().unwrap_or_default();
-                Reply::Whole(Answer { replayed: true, ..kept })
+                self.metrics.answered(pipeline, "replayed", elapsed);
+                let recorded = active.replay.take().unwrap_or_default();
+                Reply::Whole(Answer { replayed: true, ..recorded })
             }
             Verdict::Refused(refusal) => {
                 let Refusal { code, ran, .. } = refusal;
                 let code = problem::code(code);
-                self.metrics.answered(pipeline, code, took);
+                self.metrics.answered(pipeline, code, elapsed);
                 note!(logs::Event::RequestRefused, request = %request, code, ran = ran.as_str());
                 Reply::Refused(refusal)
             }
         };
-        open.outbox.push(reply);
-        if open.outbox.waits() && state.kept.len() < KEPT {
+        active.outbox.push(reply);
+        if active.outbox.awaits_caller() && state.ended.len() < MAX_ENDED {
             let until = self.now() + self.settings.limits.resume_ms;
-            let kept = Kept { workspace: open.workspace, outbox: open.outbox, until };
-            state.kept.insert(request, kept);
+            let ended = EndedRequest { workspace: active.workspace, outbox: active.outbox, until };
+            state.ended.insert(request, ended);
         }
     }
 }
 
-fn claim(request: RequestId, open: &Open) -> Option<Claim> {
-    Some(Claim { workspace: open.workspace.clone(), key: open.key?, attempt: request })
+fn claim(request: RequestId, active: &ActiveRequest) -> Option<Claim> {
+    Some(Claim { workspace: active.workspace.clone(), key: active.key?, attempt: request })
 }
 
-fn grant(granted: Granted) -> (Grant, Option<Answer>) {
+fn grant_of(granted: Granted) -> (Grant, Option<Answer>) {
     match granted {
         Granted::Granted => (Grant::Granted, None),
         Granted::Answered(answer) => (Grant::Answered, Some(answer)),
--- a/crates/entry/src/error.rs
+++ b/crates/entry/src/error.rs
@@ -1,21 +1,21 @@
-//! Why a host can't start, and what is wrong with a caller's request.
+//! Errors: why a host can't start, and why a caller's request is invalid.
 
 use base::IdError;
 use hyper::StatusCode;
 use std::net::SocketAddr;
 use thiserror::Error;
 
-/// A host that can't start.
+/// Why a host can't start.
 #[derive(Debug, Error)]
 pub enum HostError {
-    /// An address of the settings can't be listened on.
+    /// The host can't listen on an address from its settings.
     #[error("can't listen on {addr} ({field} in the settings): {source}; free it or change it")]
     Listen {
-        /// The field.
+        /// The field of the settings.
         field: &'static str,
         /// The address.
         addr: SocketAddr,
-        /// What the system said.
+        /// The error of the operating system.
         source: std::io::Error,
     },
     /// The metrics could not be set up.
@@ -23,19 +23,19 @@
     Metrics(#[from] opentelemetry_sdk::error::OTelSdkError),
 }
 
-/// What is wrong with a caller's request. It was not taken in.
+/// Why a caller's request was rejected before it was submitted.
 #[derive(Debug, Error)]
 pub enum CallerError {
-    /// Nothing is at the path.
+    /// The path is unknown.
     #[error("there is nothing at this path; post to /v1/pipelines/NAME")]
     NoSuchPath,
-    /// The path takes another method.
+    /// The path does not support the method.
     #[error("this path takes POST")]
     Method,
-    /// The request isn't kept here.
+    /// This host holds no replies for the request.
     #[error("this host has no such request any more; send it again")]
     UnknownRequest,
-    /// The offset is no piece's end.
+    /// No piece ends at the offset.
     #[error("no piece ends at this offset; give the id of the last event that was read")]
     Offset,
     /// No configuration is in force.
@@ -44,31 +44,31 @@
     /// The pipeline isn't declared.
     #[error("pipeline '{0}' is not declared")]
     UnknownPipeline(String),
-    /// No workspace is given.
+    /// The workspace is missing.
     #[error("give the workspace in the header X-Workspace")]
     NoWorkspace,
     /// The workspace isn't declared.
     #[error("workspace '{0}' is not declared")]
     UnknownWorkspace(String),
-    /// A header makes no sense.
+    /// A header can't be parsed: its name and what is expected.
     #[error("header {0} can't be read; {1}")]
     Header(&'static str, &'static str),
     /// The deadline has passed.
     #[error("the deadline has passed")]
     DeadlinePast,
-    /// The work may not be repeated and has no key.
+    /// The pipeline has non-repeatable work, and the request has no key.
     #[error("this pipeline does work that may not be repeated; give an Idempotency-Key")]
     KeyNeeded,
-    /// The key makes no sense.
+    /// The key is invalid.
     #[error("the Idempotency-Key is {0}")]
     Key(#[from] IdError),
     /// The body ended early.
     #[error("the body was cut short")]
     BodyCut,
-    /// The body came too slowly.
+    /// The body did not arrive in time.
     #[error("the body didn't come in time")]
     BodySlow,
-    /// The body is larger than the limit.
+    /// The body is larger than the limit, in bytes.
     #[error("the body is larger than {0} bytes")]
     BodyTooLarge(usize),
     /// The body is not the expected JSON.
@@ -77,7 +77,7 @@
 }
 
 impl CallerError {
-    /// The typed code that callers match on.
+    /// The error code that callers match on.
     pub(crate) fn code(&self) -> &'static str {
         match self {
             Self::NoSuchPath => "no_such_path",
--- a/crates/entry/src/news.rs
+++ b/crates/entry/src/gossip_events.rs
@@ -1,4 +1,4 @@
-//! What the host learns from the platform and other hosts, as events.
+//! Forwards what the host learns from the platform and from other hosts to the core, as events.
 
 use gossip::News;
 use logs::note;
@@ -8,19 +8,20 @@
 
 use crate::core::Core;
 
-/// Feeds news until there are no more.
-pub(crate) async fn feed(core: Arc<Core>, mut news: mpsc::UnboundedReceiver<News>) {
+/// Forwards each piece of news to the core until the channel is closed.
+pub(crate) async fn forward(core: Arc<Core>, mut news: mpsc::UnboundedReceiver<News>) {
     while let Some(news) = news.recv().await {
-        core.feed(event(news));
+        core.handle_event(event_of(news));
     }
 }
 
-fn event(news: News) -> Event {
+fn event_of(news: News) -> Event {
     match news {
         News::Fleet(plan) => Event::Config(plan),
         News::Leaving { target, leaving } => {
-            let what = if leaving { logs::Event::TargetLeaving } else { logs::Event::TargetBack };
-            note!(what, target = %target);
+            let log_event =
+                if leaving { logs::Event::TargetLeaving } else { logs::Event::TargetBack };
+            note!(log_event, target = %target);
             Event::Leaving { target, leaving }
         }
         News::Poisoned { fingerprint, until } => Event::Poisoned { fingerprint, until },
--- a/crates/entry/src/host.rs
+++ b/crates/entry/src/host.rs
@@ -1,4 +1,4 @@
-//! One entry host: its listeners, its core and its node, started and stopped together.
+//! An entry host: its listeners, core, journal and gossip node, started and stopped together.
 
 use base::{Clock, Ms, RequestId, SystemClock};
 use conf::Settings;
@@ -14,18 +14,18 @@
 use tokio::sync::mpsc;
 use tokio::task::JoinHandle;
 
-use crate::admin::Admin;
-use crate::caller::Callers;
+use crate::admin::AdminHandler;
+use crate::caller::CallerHandler;
 use crate::claims::JournalClaims;
-use crate::core::{Core, Outlets};
+use crate::core::{Core, CoreDeps};
 use crate::error::HostError;
-use crate::news;
-use crate::targets::Targets;
+use crate::gossip_events;
+use crate::http_connector::HttpConnector;
 
-/// Time between ticks of the reducer.
-const TICK: Ms = Ms(50);
-/// Time between looks at what is still open while draining.
-const DRAIN_LOOK: Ms = Ms(10);
+/// Interval between ticks of the reducer.
+const TICK_INTERVAL: Ms = Ms(50);
+/// Interval at which draining checks for requests under way.
+const DRAIN_POLL: Ms = Ms(10);
 
 /// A running entry host.
 pub struct Host {
@@ -34,15 +34,15 @@
     core: Arc<Core>,
     journal: Arc<dyn Journal>,
     node: Node,
-    callers: Listener,
-    admins: Listener,
+    caller_listener: Listener,
+    admin_listener: Listener,
     tasks: Vec<JoinHandle<()>>,
 }
 
 /// How a host stopped.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 pub struct Stopped {
-    /// Requests that were given up on because the time to drain ran out; zero as a rule.
+    /// Requests that were aborted because the time to drain ran out; normally zero.
     pub cut: usize,
 }
 
@@ -52,44 +52,45 @@
 }
 
 impl Host {
-    /// Starts a host. It takes callers once a configuration is in force.
+    /// Starts a host. It accepts requests once a configuration is in force.
     pub async fn start(settings: Settings) -> Result<Self, HostError> {
         let clock: Arc<dyn Clock> = Arc::new(SystemClock::new());
-        let api = platform(&settings);
+        let api = platform_api(&settings);
         let node_config = NodeConfig { settings: settings.clone(), capacity: 0 };
-        let (node, news_rx) = Node::start(node_config, api.clone(), clock.clone())
+        let (node, gossip_rx) = Node::start(node_config, api.clone(), clock.clone())
             .await
             .map_err(|source| HostError::Listen { field: "peer", addr: settings.peer, source })?;
         let journal = journal(&settings, api, clock.clone(), &node);
-        let (wakes, wake_rx) = mpsc::unbounded_channel();
-        let outlets = Outlets {
+        let (wakeups, wakeup_rx) = mpsc::unbounded_channel();
+        let deps = CoreDeps {
             clock,
             journal: journal.clone(),
-            dial: Arc::new(Targets::new(settings.limits.connect_ms)),
+            connector: Arc::new(HttpConnector::new(settings.limits.connect_ms)),
             ids: Box::new(RequestId::fresh),
-            tells: node.tells(),
-            wakes,
+            announcements: node.tells(),
+            wakeups,
         };
-        let reducer = Box::new(State::new(placed(&settings), &[]));
-        let core = Core::new(&settings, reducer, outlets)?;
+        let reducer = Box::new(State::new(host_context(&settings), &[]));
+        let core = Core::new(&settings, reducer, deps)?;
         let limits = &settings.limits;
         let bounds = Bounds {
             header_bytes: limits.header_bytes,
             read_ms: limits.read_ms,
             connections: limits.connections,
         };
-        let (listen, callers) =
-            listener("listen", settings.listen, bounds, Callers { core: core.clone() }).await?;
-        let (admin, admins) = listener(
+        let (listen, caller_listener) =
+            start_listener("listen", settings.listen, bounds, CallerHandler { core: core.clone() })
+                .await?;
+        let (admin, admin_listener) = start_listener(
             "admin",
             settings.admin,
             bounds,
-            Admin { core: core.clone(), node: node.reader() },
+            AdminHandler { core: core.clone(), node: node.reader() },
         )
         .await?;
         let tasks = vec![
-            tokio::spawn(news::feed(core.clone(), news_rx)),
-            tokio::spawn(tick(core.clone(), wake_rx)),
+            tokio::spawn(gossip_events::forward(core.clone(), gossip_rx)),
+            tokio::spawn(run_ticks(core.clone(), wakeup_rx)),
         ];
         note!(
             logs::Event::HostStarted,
@@ -98,53 +99,54 @@
             admin = %admin,
             peer = %node.addr()
         );
-        Ok(Self { listen, admin, core, journal, node, callers, admins, tasks })
+        Ok(Self { listen, admin, core, journal, node, caller_listener, admin_listener, tasks })
     }
 
-    /// Where callers connect.
+    /// The address for callers.
     pub fn listen(&self) -> SocketAddr {
         self.listen
     }
 
-    /// Where the balancer and operators connect.
+    /// The address for the load balancer and operators.
     pub fn admin(&self) -> SocketAddr {
         self.admin
     }
 
-    /// Where other hosts connect.
+    /// The address for other hosts.
     pub fn peer(&self) -> SocketAddr {
         self.node.addr()
     }
 
-    /// Whether a configuration is in force and the host takes requests.
+    /// Whether a configuration is in force and the host accepts requests.
     pub fn ready(&self) -> bool {
         self.core.ready()
     }
 
-    /// Stops without cutting an answer: not ready, nothing new, what is open is finished, then
-    /// the journal and the node are closed.
+    /// Shuts down without interrupting answers. The host reports that it is not ready, refuses new
+    /// requests and finishes those under way, for at most the configured time to drain; then it
+    /// closes the journal and the gossip node.
     pub async fn close(self) -> Stopped {
-        note!(logs::Event::HostDraining, open = self.core.open());
-        // A node that has stopped has told its peers already.
+        note!(logs::Event::HostDraining, open = self.core.active_count());
+        // Sending fails only if the node has stopped, and then it has told its peers already.
         let _ = self.node.tells().send(Tell::Leaving);
-        self.core.feed(Event::Drain);
+        self.core.handle_event(Event::Drain);
         let settings = self.core.settings();
-        let end = self.core.now() + settings.drain_ms;
-        while self.core.open() > 0 && self.core.now() < end {
-            tokio::time::sleep(DRAIN_LOOK.duration()).await;
+        let drain_end = self.core.now() + settings.drain_ms;
+        while self.core.active_count() > 0 && self.core.now() < drain_end {
+            tokio::time::sleep(DRAIN_POLL.duration()).await;
         }
-        let cut = self.core.open();
+        let cut = self.core.active_count();
         if cut > 0 {
             note!(logs::Event::DrainOverrun, open = cut);
         }
-        self.callers.stop.stop();
-        let rest = end - self.core.now() + Ms::secs(1);
-        // An answer may still be on its way out to a slow caller.
-        let _ = tokio::time::timeout(rest.duration(), self.callers.task).await;
+        self.caller_listener.stop.stop();
+        let remaining = drain_end - self.core.now() + Ms::secs(1);
+        // Answers may still be on their way to slow callers.
+        let _ = tokio::time::timeout(remaining.duration(), self.caller_listener.task).await;
         self.journal.close().await;
         self.node.close().await;
-        self.admins.stop.stop();
-        let _ = tokio::time::timeout(Ms::secs(1).duration(), self.admins.task).await;
+        self.admin_listener.stop.stop();
+        let _ = tokio::time::timeout(Ms::secs(1).duration(), self.admin_listener.task).await;
         for task in self.tasks {
             task.abort();
         }
@@ -154,12 +156,13 @@
     }
 }
 
-fn platform(settings: &Settings) -> Arc<dyn Api> {
+fn platform_api(settings: &Settings) -> Arc<dyn Api> {
     let silence = &settings.silence;
     let config = HttpConfig { silence_ms: silence.platform_ms, watch_ms: silence.watch_ms };
     let api = Arc::new(HttpApi::new(settings.platform, config));
-    // Hosts that back off alike would come back all at once.
-    Arc::new(Bounded::new(api, settings.rates.platform_calls, placed(settings).seed))
+    // Each host has its own seed for back-off: with equal delays all hosts would retry at the same
+    // moment.
+    Arc::new(Bounded::new(api, settings.rates.platform_calls, host_context(settings).seed))
 }
 
 fn journal(
@@ -178,17 +181,18 @@
     journal
 }
 
-fn placed(settings: &Settings) -> HostContext {
+fn host_context(settings: &Settings) -> HostContext {
     HostContext {
         host: settings.host.clone(),
         domain: settings.domain.clone(),
         region: settings.region.clone(),
-        // Hosts with the same draws would all choose the same target at the same moment.
+        // The seed differs per host: with equal random choices all hosts would choose the same
+        // target at the same moment.
         seed: base::hash_parts(&[&settings.seed.to_le_bytes(), settings.host.as_str().as_bytes()]),
     }
 }
 
-async fn listener<H: Handler>(
+async fn start_listener<H: Handler>(
     field: &'static str,
     addr: SocketAddr,
     bounds: Bounds,
@@ -202,19 +206,19 @@
     Ok((addr, Listener { stop, task }))
 }
 
-/// Ticks the reducer regularly, and when it asked to be woken.
-async fn tick(core: Arc<Core>, mut wakes: mpsc::UnboundedReceiver<Ms>) {
-    let mut wake = Ms::MAX;
+/// Ticks the core at a fixed interval, and at the times at which the reducer asked to be woken.
+async fn run_ticks(core: Arc<Core>, mut wakeups: mpsc::UnboundedReceiver<Ms>) {
+    let mut next_wakeup = Ms::MAX;
     loop {
-        let rest = (wake - core.now()).min(TICK);
+        let remaining = (next_wakeup - core.now()).min(TICK_INTERVAL);
         tokio::select! {
-            at = wakes.recv() => match at {
-                Some(at) => wake = wake.min(at),
+            at = wakeups.recv() => match at {
+                Some(at) => next_wakeup = next_wakeup.min(at),
                 None => return,
             },
-            () = tokio::time::sleep(rest.duration()) => {
-                if core.now() >= wake {
-                    wake = Ms::MAX;
+            () = tokio::time::sleep(remaining.duration()) => {
+                if core.now() >= next_wakeup {
+                    next_wakeup = Ms::MAX;
                 }
                 core.tick();
             }
--- a/crates/entry/src/targets.rs
+++ b/crates/entry/src/http_connector.rs
@@ -1,4 +1,4 @@
-//! Connections to targets over HTTP, kept by address.
+//! HTTP connections to targets, with a connection pool per address.
 
 use async_trait::async_trait;
 use base::Ms;
@@ -13,36 +13,36 @@
 use tokio::time::timeout;
 use wire::StageCall;
 
-use crate::dial::{Bounds, Dial, Line, Probed};
+use crate::connector::{CallLimits, Connection, Connector, ProbeResult};
 use crate::probe::probe;
 
-/// Pools of connections to targets, made when first needed.
-pub(crate) struct Targets {
-    connect: Ms,
+/// Connection pools of the targets, created on first use.
+pub(crate) struct HttpConnector {
+    connect_timeout: Ms,
     pools: Mutex<HashMap<SocketAddr, Arc<Pool>>>,
 }
 
-/// One HTTP connection and the response that is read from it.
-struct HttpLine {
+/// An HTTP connection and the response that is being read from it.
+struct HttpConnection {
     pool: Arc<Pool>,
     conn: Conn,
     body: Option<Incoming>,
 }
 
-impl Targets {
-    pub(crate) fn new(connect: Ms) -> Self {
-        Self { connect, pools: Mutex::default() }
+impl HttpConnector {
+    pub(crate) fn new(connect_timeout: Ms) -> Self {
+        Self { connect_timeout, pools: Mutex::default() }
     }
 
     fn pool(&self, addr: SocketAddr) -> Arc<Pool> {
         let mut pools = self.pools.lock().unwrap_or_else(PoisonError::into_inner);
-        let config = PoolConfig { connect_ms: self.connect, ..PoolConfig::default() };
+        let config = PoolConfig { connect_ms: self.connect_timeout, ..PoolConfig::default() };
         pools.entry(addr).or_insert_with(|| Arc::new(Pool::new(addr, config))).clone()
     }
 }
 
-impl HttpLine {
-    fn begin(&mut self, response: Response<Incoming>) -> StatusCode {
+impl HttpConnection {
+    fn start_body(&mut self, response: Response<Incoming>) -> StatusCode {
         let (head, body) = response.into_parts();
         self.body = Some(body);
         head.status
@@ -50,15 +50,19 @@
 }
 
 #[async_trait]
-impl Dial for Targets {
-    async fn open(&self, addr: SocketAddr, fresh: Freshness) -> Result<Box<dyn Line>, LinkError> {
+impl Connector for HttpConnector {
+    async fn open(
+        &self,
+        addr: SocketAddr,
+        freshness: Freshness,
+    ) -> Result<Box<dyn Connection>, LinkError> {
         let pool = self.pool(addr);
-        let conn = pool.get(fresh).await?;
-        Ok(Box::new(HttpLine { pool, conn, body: None }))
+        let conn = pool.get(freshness).await?;
+        Ok(Box::new(HttpConnection { pool, conn, body: None }))
     }
 
-    async fn probe(&self, addr: SocketAddr, call: &StageCall, bounds: Bounds) -> Probed {
-        probe(addr, call, bounds).await
+    async fn probe(&self, addr: SocketAddr, call: &StageCall, limits: CallLimits) -> ProbeResult {
+        probe(addr, call, limits).await
     }
 
     fn clear(&self, addr: SocketAddr) {
@@ -67,8 +71,8 @@
 }
 
 #[async_trait]
-impl Line for HttpLine {
-    async fn send(&mut self, body: Bytes, silence: Ms) -> Result<StatusCode, LinkError> {
+impl Connection for HttpConnection {
+    async fn send(&mut self, body: Bytes, idle_timeout: Ms) -> Result<StatusCode, LinkError> {
         let mut request = Request::new(full(body));
         *request.method_mut() = Method::POST;
         *request.uri_mut() = hyper::Uri::from_static("/v1/stage");
@@ -76,32 +80,32 @@
         headers.insert(header::HOST, header::HeaderValue::from_static("target"));
         let kind = header::HeaderValue::from_static("application/json");
         headers.insert(header::CONTENT_TYPE, kind);
-        let response = self.conn.send(request, silence).await?;
-        Ok(self.begin(response))
+        let response = self.conn.send(request, idle_timeout).await?;
+        Ok(self.start_body(response))
     }
 
-    async fn wait(&mut self, silence: Ms) -> Result<StatusCode, LinkError> {
-        let response = self.conn.wait(silence).await?;
-        Ok(self.begin(response))
+    async fn wait(&mut self, idle_timeout: Ms) -> Result<StatusCode, LinkError> {
+        let response = self.conn.wait(idle_timeout).await?;
+        Ok(self.start_body(response))
     }
 
-    async fn chunk(&mut self, silence: Ms) -> Result<Option<Bytes>, LinkError> {
+    async fn chunk(&mut self, idle_timeout: Ms) -> Result<Option<Bytes>, LinkError> {
         let Some(body) = &mut self.body else { return Ok(None) };
         loop {
-            let frame = match timeout(silence.duration(), body.frame()).await {
+            let frame = match timeout(idle_timeout.duration(), body.frame()).await {
                 Ok(Some(Ok(frame))) => frame,
                 Ok(Some(Err(_))) => return Err(LinkError::Broken { reused: false }),
                 Ok(None) => return Ok(None),
                 Err(_) => return Err(LinkError::Silent),
             };
-            // Trailers carry nothing that is wanted.
+            // Trailers are ignored.
             if let Ok(data) = frame.into_data() {
                 return Ok(Some(data));
             }
         }
     }
 
-    fn keep(self: Box<Self>) {
+    fn release(self: Box<Self>) {
         self.pool.put(self.conn);
     }
 }
--- a/crates/entry/src/lib.rs
+++ b/crates/entry/src/lib.rs
@@ -1,31 +1,32 @@
-//! The entry host: takes callers' requests, runs them stage by stage on targets, and gives each
-//! caller its whole answer or a typed refusal.
+//! The entry host: accepts callers' requests, runs them stage by stage on targets, and returns to
+//! each caller a whole answer or a refusal with an error code.
 //!
-//! The way of a request: `caller` reads it, `core` feeds it to the policy's reducer and
-//! carries out the effects, `attempt` sends a stage to a target, and the answer goes back
-//! through the caller's `ticket`.
+//! Path of a request: `caller` parses it; `core` submits it to the policy's reducer and executes
+//! the effects (`effects`); `attempt` runs a stage on a target; `results` matches what the target
+//! returns with the request; and the replies go back to the caller through its
+//! `reply::ReplyReceiver`.
 
+mod active;
 mod admin;
 mod attempt;
 mod caller;
 mod claims;
+mod connector;
 mod core;
-mod dial;
 mod effects;
 mod error;
+mod gossip_events;
 mod host;
+mod http_connector;
 mod metrics;
-mod news;
-mod open;
 mod outbox;
 mod probe;
 mod problem;
+mod reply;
 mod results;
-mod targets;
-mod ticket;
 
-pub use self::core::{Asked, Core, Outlets};
-pub use dial::{Bounds, Dial, Line, Probed};
+pub use self::core::{CheckedRequest, Core, CoreDeps};
+pub use connector::{CallLimits, Connection, Connector, ProbeResult};
 pub use error::{CallerError, HostError};
 pub use host::{Host, Stopped};
-pub use ticket::{Reply, Ticket};
+pub use reply::{Reply, ReplyReceiver};
--- a/crates/entry/src/metrics.rs
+++ b/crates/entry/src/metrics.rs
@@ -1,4 +1,4 @@
-//! What the host counts, in the usual text format.
+//! Metrics of the host, exported in the Prometheus text format.
 
 use base::Ms;
 use opentelemetry::KeyValue;
@@ -23,7 +23,7 @@
 }
 
 impl Metrics {
-    /// Sets the instruments up.
+    /// Creates the instruments.
     pub(crate) fn new() -> Result<Self, OTelSdkError> {
         let registry = Registry::new();
         let exporter =
@@ -44,8 +44,9 @@
         })
     }
 
-    /// A request got its final answer: `whole`, `replayed` or a refusal's code. Attainment is
-    /// the share of `whole` and `replayed`, since an answer past its deadline is a refusal.
+    /// Counts a final reply by result: `whole`, `replayed` or the code of a refusal. The share of
+    /// `whole` and `replayed` is the share of requests that met their deadline, since an answer
+    /// past its deadline is a refusal.
     pub(crate) fn answered(&self, pipeline: &str, result: &'static str, took: Ms) {
         let labels =
             [KeyValue::new("pipeline", pipeline.to_owned()), KeyValue::new("result", result)];
@@ -53,12 +54,12 @@
         self.duration.record(took.0, &labels);
     }
 
-    /// A request could not be read.
+    /// Counts a request that was rejected as invalid.
     pub(crate) fn malformed(&self, code: &'static str) {
         self.malformed.add(1, &[KeyValue::new("code", code)]);
     }
 
-    /// A stage ended with a result.
+    /// Records the run time, cost and transfer of a stage that ended with a result.
     pub(crate) fn stage(&self, pipeline: &str, cost: &StageCost) {
         let labels = [
             KeyValue::new("pipeline", pipeline.to_owned()),
@@ -69,27 +70,27 @@
         self.crossed.add(cost.crossed_bytes, &labels);
     }
 
-    /// An answer was another's.
+    /// Counts a response that belongs to another request or attempt.
     pub(crate) fn mismatch(&self) {
         self.mismatches.add(1, &[]);
     }
 
-    /// A late or doubled piece was dropped.
+    /// Counts a late or duplicate piece that was dropped.
     pub(crate) fn dropped(&self) {
         self.dropped.add(1, &[]);
     }
 
-    /// All of it, in the usual text format.
+    /// All metrics in the Prometheus text format.
     pub(crate) fn text(&self) -> Vec<u8> {
         let mut out = Vec::new();
-        // A family that can't be encoded leaves the others readable.
+        // An error in one metric family is ignored, so that the others remain readable.
         let _ = TextEncoder::new().encode(&self.registry.gather(), &mut out);
         out
     }
 
     /// Stops the instruments.
     pub(crate) fn close(&self) {
-        // Nothing is buffered: the text is made when it is asked for.
+        // The error can be ignored: nothing is buffered, since the text is produced on request.
         let _ = self.provider.shutdown();
     }
 }
--- a/crates/entry/src/probe.rs
+++ b/crates/entry/src/probe.rs
@@ -1,4 +1,4 @@
-//! What became of a call whose connection went silent.
+//! Asks a target what became of a call whose connection broke or went silent.
 
 use bytes::Bytes;
 use hyper::{Request, StatusCode};
@@ -7,8 +7,9 @@
 use std::net::SocketAddr;
 use wire::{StageCall, StageReply};
 
-use crate::dial::{Bounds, Probed};
+use crate::connector::{CallLimits, ProbeResult};
 
+/// The target's response to `/v1/calls`.
 #[derive(Deserialize)]
 #[serde(tag = "state", rename_all = "snake_case")]
 enum CallState {
@@ -16,27 +17,28 @@
     Done { reply: Option<StageReply> },
 }
 
-/// Asks on a new connection.
+/// Asks a target about a call on a new connection.
 ///
-/// A connection that something between the two ends has lost track of looks like a slow target.
-/// Only a new one can tell them apart, so the target is not blamed before it was asked there.
-pub(crate) async fn probe(addr: SocketAddr, call: &StageCall, bounds: Bounds) -> Probed {
-    let Bounds { silence, limit } = bounds;
-    let fresh = Pool::new(addr, PoolConfig { connect_ms: silence, ..PoolConfig::default() });
+/// If a device between the two ends has lost track of a connection, that looks the same as a slow
+/// target. Only a new connection can tell the two apart, so a target is not blamed before it was
+/// asked on one.
+pub(crate) async fn probe(addr: SocketAddr, call: &StageCall, limits: CallLimits) -> ProbeResult {
+    let CallLimits { idle_timeout, max_bytes } = limits;
+    let pool = Pool::new(addr, PoolConfig { connect_ms: idle_timeout, ..PoolConfig::default() });
     let path =
         format!("/v1/calls?request={}&stage={}&attempt={}", call.request, call.stage, call.attempt);
     let mut request = Request::new(Bytes::new());
     *request.uri_mut() = path.parse().unwrap_or_default();
     let host = hyper::header::HeaderValue::from_static("target");
     request.headers_mut().insert(hyper::header::HOST, host);
-    let Ok(response) = link::call(&fresh, request, silence, limit).await else {
-        return Probed::Dead;
+    let Ok(response) = link::call(&pool, request, idle_timeout, max_bytes).await else {
+        return ProbeResult::Unreachable;
     };
     match (response.status(), serde_json::from_slice(response.body())) {
-        (StatusCode::OK, Ok(CallState::Running { tokens })) => Probed::Running { tokens },
+        (StatusCode::OK, Ok(CallState::Running { tokens })) => ProbeResult::Running { tokens },
         (StatusCode::OK, Ok(CallState::Done { reply: Some(reply) })) => {
-            Probed::Done(Box::new(reply))
+            ProbeResult::Done(Box::new(reply))
         }
-        _ => Probed::Lost,
+        _ => ProbeResult::Lost,
     }
 }
--- a/crates/entry/src/problem.rs
+++ b/crates/entry/src/problem.rs
@@ -1,4 +1,4 @@
-//! Errors as callers read them: `application/problem+json`.
+//! Error responses to callers, as `application/problem+json`.
 
 use base::{Ms, RequestId};
 use hyper::{Response, StatusCode, header};
@@ -8,30 +8,31 @@
 
 use crate::error::CallerError;
 
-/// A request that could not be read. `doubt` says that it may have run before.
-pub(crate) fn caller(err: &CallerError, doubt: bool) -> Response<Body> {
-    let retry = matches!(err, CallerError::NotReady).then_some(Ms::secs(1));
+/// Response to an invalid request. `uncertain` says that an earlier send of the request may have
+/// run.
+pub(crate) fn invalid_request(err: &CallerError, uncertain: bool) -> Response<Body> {
+    let retry_after = matches!(err, CallerError::NotReady).then_some(Ms::secs(1));
     let mut ledger = Ledger::default();
-    ledger.refused_unregistered(doubt);
+    ledger.refused_unregistered(uncertain);
     let ran = ledger.verdict().as_str();
-    response(problem(err.status(), err.code(), ran, err.to_string(), retry), retry)
+    response(problem(err.status(), err.code(), ran, err.to_string(), retry_after), retry_after)
 }
 
-/// A request that was refused or given up on.
+/// Response to a request that was refused or given up on.
 pub(crate) fn refused(request: RequestId, refusal: &Refusal) -> Response<Body> {
     response(body(request, refusal), refusal.retry_after)
 }
 
-/// The problem itself, for event streams.
+/// Only the problem, for event streams.
 pub(crate) fn body(request: RequestId, refusal: &Refusal) -> Problem {
-    let (status, detail) = told(refusal.code);
+    let (status, detail) = status_and_detail(refusal.code);
     let ran = refusal.ran.as_str();
     let mut out = problem(status, code(refusal.code), ran, detail.to_owned(), refusal.retry_after);
     out.request = request.to_string();
     out
 }
 
-/// The code as callers match on it.
+/// The error code that callers match on.
 pub(crate) fn code(code: Code) -> &'static str {
     match code {
         Code::Overloaded => "overloaded",
@@ -50,7 +51,7 @@
     }
 }
 
-fn told(code: Code) -> (StatusCode, &'static str) {
+fn status_and_detail(code: Code) -> (StatusCode, &'static str) {
     match code {
         Code::Overloaded => (StatusCode::SERVICE_UNAVAILABLE, "there is no room for it in time"),
         Code::OverShare => {
@@ -88,7 +89,7 @@
     code: &str,
     ran: &str,
     detail: String,
-    retry: Option<Ms>,
+    retry_after: Option<Ms>,
 ) -> Problem {
     Problem {
         r#type: format!("urn:siskinwheel:{code}"),
@@ -98,11 +99,11 @@
         code: code.to_owned(),
         ran: ran.to_owned(),
         request: String::new(),
-        retry_after_ms: retry.map_or(0, |ms| ms.0),
+        retry_after_ms: retry_after.map_or(0, |ms| ms.0),
     }
 }
 
-fn response(problem: Problem, retry: Option<Ms>) -> Response<Body> {
+fn response(problem: Problem, retry_after: Option<Ms>) -> Response<Body> {
     let bytes = serde_json::to_vec(&problem).unwrap_or_default();
     let mut out = Response::new(full(bytes));
     *out.status_mut() =
@@ -110,7 +111,7 @@
     let headers = out.headers_mut();
     let kind = header::HeaderValue::from_static("application/problem+json");
     headers.insert(header::CONTENT_TYPE, kind);
-    if let Some(Ms(ms)) = retry {
+    if let Some(Ms(ms)) = retry_after {
         headers.insert(header::RETRY_AFTER, header::HeaderValue::from(ms.div_ceil(1000)));
     }
     out
--- a/crates/entry/src/ticket.rs
+++ b/crates/entry/src/reply.rs
@@ -1,4 +1,4 @@
-//! A caller's end of its request.
+//! Replies to a caller, and the receiver that delivers them.
 
 use base::RequestId;
 use policy::Refusal;
@@ -8,26 +8,27 @@
 
 use crate::core::Core;
 
-/// What comes back to a caller.
+/// A reply to a caller.
 #[derive(Clone, Debug)]
 pub enum Reply {
-    /// A piece of the last stage's stream; `offset` counts tokens before it.
+    /// A piece of the last stage's stream.
     Piece {
-        /// Tokens before this piece.
+        /// Number of tokens before this piece.
         offset: u32,
-        /// Tokens in it.
+        /// Number of tokens in it.
         tokens: u32,
         /// Its text.
         text: String,
     },
-    /// The whole answer. Nothing follows.
+    /// The whole answer; the last reply.
     Whole(Answer),
-    /// An error. Nothing follows.
+    /// A refusal; the last reply.
     Refused(Refusal),
 }
 
-/// A caller's claim on its answer. Dropped before the end, it tells that the connection has gone.
-pub struct Ticket {
+/// Receives the replies of one request for one connection of its caller. Dropping it before the
+/// last reply tells the core that the connection has ended.
+pub struct ReplyReceiver {
     core: Arc<Core>,
     request: RequestId,
     epoch: u32,
@@ -35,7 +36,7 @@
     ended: bool,
 }
 
-impl Ticket {
+impl ReplyReceiver {
     pub(crate) fn new(
         core: Arc<Core>,
         request: RequestId,
@@ -50,7 +51,7 @@
         self.request
     }
 
-    /// The next reply; none after the last.
+    /// Returns the next reply, or `None` after the last one.
     pub async fn next(&mut self) -> Option<Reply> {
         if self.ended {
             return None;
@@ -61,7 +62,7 @@
     }
 }
 
-impl Drop for Ticket {
+impl Drop for ReplyReceiver {
     fn drop(&mut self) {
         if !self.ended {
             self.core.detach(self.request, self.epoch);
--- a/crates/entry/src/results.rs
+++ b/crates/entry/src/results.rs
@@ -1,102 +1,108 @@
-//! What comes back from targets, matched with the request it belongs to.
+//! Matches what targets return with the requests, and reports it to the reducer.
 
 use logs::note;
 use policy::{Event, Fault, Usage};
 use wire::Piece;
 
+use crate::active::{ActiveRequest, PieceCheck};
 use crate::attempt::Job;
 use crate::core::{Core, State};
-use crate::open::{Fit, Open};
-use crate::ticket::Reply;
+use crate::reply::Reply;
 
-/// Whether a stream goes on.
+/// Whether more of a stream is expected.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
-pub(crate) enum Taken {
+pub(crate) enum StreamProgress {
     More,
     End,
 }
 
 impl Core {
-    /// The first byte of an attempt is about to be handed to a socket. False when the attempt was
-    /// cancelled meanwhile: its caller may have been told already that nothing ran, so nothing may
-    /// be sent any more.
-    pub(crate) fn sent(&self, job: &Job) -> bool {
+    /// Records that the first byte of an attempt is about to be written to a socket. Returns false
+    /// if the attempt was cancelled meanwhile: the caller may have been told already that nothing
+    /// ran, so nothing may be sent any more.
+    pub(crate) fn mark_sent(&self, job: &Job) -> bool {
         let Job { request, stage, attempt, .. } = *job;
         let mut state = self.lock();
-        let wanted = current(&mut state, job).is_some();
-        if wanted {
+        let current = current_request(&mut state, job).is_some();
+        if current {
             self.reduce(&mut state, Event::Sent { request, stage, attempt });
         }
-        wanted
+        current
     }
 
-    /// An attempt ended without a result.
-    pub(crate) fn failed(&self, job: &Job, fault: Fault) {
+    /// Reports that an attempt ended without a result.
+    pub(crate) fn attempt_failed(&self, job: &Job, fault: Fault) {
         let Job { request, stage, attempt, .. } = *job;
         let mut state = self.lock();
-        if let Some(open) = state.open.get_mut(&request) {
-            open.attempts.remove(&attempt);
-            if open.held.taken == Some(attempt) {
-                open.held.taken = None;
+        if let Some(active) = state.active.get_mut(&request) {
+            active.attempts.remove(&attempt);
+            if active.buffer.source == Some(attempt) {
+                active.buffer.source = None;
             }
         }
         self.reduce(&mut state, Event::Failed { request, stage, attempt, fault });
     }
 
-    /// An attempt gave its whole result.
-    pub(crate) fn done(&self, job: &Job, output: String, usage: Usage) {
+    /// Accepts the whole result of an attempt.
+    pub(crate) fn attempt_done(&self, job: &Job, output: String, usage: Usage) {
         let mut state = self.lock();
-        if current(&mut state, job).is_some() {
+        if current_request(&mut state, job).is_some() {
             self.finish_stage(&mut state, job, output, usage);
         }
     }
 
-    /// An attempt gave a piece.
-    pub(crate) fn piece(&self, job: &Job, piece: &Piece, bytes: u64) -> Result<Taken, Fault> {
+    /// Accepts a piece of an attempt's stream.
+    pub(crate) fn accept_piece(
+        &self,
+        job: &Job,
+        piece: &Piece,
+        bytes: u64,
+    ) -> Result<StreamProgress, Fault> {
         let Job { request, stage, attempt, .. } = *job;
         let mut state = self.lock();
-        let Some(open) = current(&mut state, job) else { return Ok(Taken::End) };
-        match open.held.fit(attempt, piece) {
-            Fit::Next => {}
-            Fit::Old => {
+        let Some(active) = current_request(&mut state, job) else { return Ok(StreamProgress::End) };
+        match active.buffer.check(attempt, piece) {
+            PieceCheck::Next => {}
+            PieceCheck::Stale => {
                 note!(logs::Event::PieceDropped, request = %request, offset = piece.offset);
                 self.metrics.dropped();
-                return Ok(Taken::More);
+                return Ok(StreamProgress::More);
             }
-            Fit::Broken => return Err(Fault::Mismatch),
+            PieceCheck::Invalid => return Err(Fault::Mismatch),
         }
-        let offset = open.held.tokens;
-        open.held.take(attempt, piece);
-        if open.is_last() {
+        let offset = active.buffer.tokens;
+        active.buffer.append(attempt, piece);
+        if active.is_last() {
             let text = piece.text.clone();
-            open.outbox.push(Reply::Piece { offset, tokens: piece.tokens, text });
+            active.outbox.push(Reply::Piece { offset, tokens: piece.tokens, text });
         }
-        let held = open.held.tokens;
-        self.reduce(&mut state, Event::Piece { request, stage, attempt, offset: held });
+        let received = active.buffer.tokens;
+        self.reduce(&mut state, Event::Piece { request, stage, attempt, offset: received });
         if !piece.end {
-            return Ok(Taken::More);
+            return Ok(StreamProgress::More);
         }
-        let Some(open) = current(&mut state, job) else { return Ok(Taken::End) };
-        let output = std::mem::take(&mut open.held.text);
+        let Some(active) = current_request(&mut state, job) else { return Ok(StreamProgress::End) };
+        let output = std::mem::take(&mut active.buffer.text);
         let usage = Usage {
             tokens_in: piece.tokens_in,
-            tokens_out: held,
+            tokens_out: received,
             cached: piece.cached_tokens,
             bytes,
         };
         self.finish_stage(&mut state, job, output, usage);
-        Ok(Taken::End)
+        Ok(StreamProgress::End)
     }
 
-    /// Whether a target has given more of a stream than came here: then the connection, and not
-    /// the target, is at fault.
-    pub(crate) fn behind(&self, job: &Job, tokens: u32) -> bool {
+    /// Whether the target has generated more of a stream than this host has received. In that case
+    /// the connection is at fault, and not the target.
+    pub(crate) fn stream_behind(&self, job: &Job, tokens: u32) -> bool {
         let mut state = self.lock();
-        current(&mut state, job).is_none_or(|open| tokens > open.held.tokens)
+        current_request(&mut state, job).is_none_or(|active| tokens > active.buffer.tokens)
     }
 
-    /// An answer that is another's was dropped.
-    pub(crate) fn mismatch(&self, job: &Job, got: &str) {
+    /// Logs and counts a response that was dropped because it belongs to another request or
+    /// attempt.
+    pub(crate) fn report_mismatch(&self, job: &Job, got: &str) {
         self.metrics.mismatch();
         note!(
             logs::Event::AnswerMismatch,
@@ -109,19 +115,19 @@
     fn finish_stage(&self, state: &mut State, job: &Job, output: String, usage: Usage) {
         let Job { request, stage, attempt, .. } = *job;
         let now = self.now();
-        let Some(open) = state.open.get_mut(&request) else { return };
-        open.advance(now, attempt, output, usage);
-        open.attempts.remove(&attempt);
-        if let Some(cost) = open.costs.last() {
-            let pipeline = open.plan.pipeline_name(open.pipeline).as_str();
+        let Some(active) = state.active.get_mut(&request) else { return };
+        active.advance(now, attempt, output, usage);
+        active.attempts.remove(&attempt);
+        if let Some(cost) = active.costs.last() {
+            let pipeline = active.plan.pipeline_name(active.pipeline).as_str();
             self.metrics.stage(pipeline, cost);
         }
         self.reduce(state, Event::Done { request, stage, attempt, usage });
     }
 }
 
-/// The request of a job, if the job's attempt is still one of its stage's.
-fn current<'a>(state: &'a mut State, job: &Job) -> Option<&'a mut Open> {
-    let open = state.open.get_mut(&job.request)?;
-    (open.stage == job.stage && open.attempts.contains_key(&job.attempt)).then_some(open)
+/// The request of a job, if the job's attempt is still running and belongs to the current stage.
+fn current_request<'a>(state: &'a mut State, job: &Job) -> Option<&'a mut ActiveRequest> {
+    let active = state.active.get_mut(&job.request)?;
+    (active.stage == job.stage && active.attempts.contains_key(&job.attempt)).then_some(active)
 }
--- a/crates/entry/tests/sim/faults.rs
+++ b/crates/entry/tests/sim/faults.rs
@@ -1,4 +1,4 @@
-//! Which faults there are at a moment, and a seeded generator for the rest of chance.
+//! The faults active at each moment, and the seeded generator for all other random choices.
 
 use base::Ms;
 use rand::{RngExt, SeedableRng};
@@ -7,11 +7,12 @@
 use std::sync::{Mutex, PoisonError};
 use tokio::time::Instant;
 
-use crate::schedule::Kind;
+use crate::schedule::FaultKind;
 
-/// Where the clocks start.
+/// Time at which the clocks start.
 const EPOCH: Ms = Ms(1_700_000_000_000);
 
+/// Active faults, the random generator and the clock of one run.
 pub struct Faults {
     start: Instant,
     inner: Mutex<Inner>,
@@ -19,7 +20,7 @@
 
 struct Inner {
     rng: ChaCha8Rng,
-    targets: BTreeMap<(usize, Kind), Ms>,
+    targets: BTreeMap<(usize, FaultKind), Ms>,
     cuts: BTreeMap<(usize, usize), Ms>,
 }
 
@@ -34,17 +35,17 @@
         EPOCH + Ms(self.start.elapsed().as_millis() as u64)
     }
 
-    pub fn set(&self, target: usize, kind: Kind, span: Ms) {
-        let until = self.now() + span;
+    pub fn set(&self, target: usize, kind: FaultKind, duration: Ms) {
+        let until = self.now() + duration;
         self.with(|inner| inner.targets.insert((target, kind), until));
     }
 
-    pub fn cut(&self, host: usize, target: usize, span: Ms) {
-        let until = self.now() + span;
+    pub fn cut_link(&self, host: usize, target: usize, duration: Ms) {
+        let until = self.now() + duration;
         self.with(|inner| inner.cuts.insert((host, target), until));
     }
 
-    pub fn has(&self, target: usize, kind: Kind) -> bool {
+    pub fn has(&self, target: usize, kind: FaultKind) -> bool {
         let now = self.now();
         self.with(|inner| inner.targets.get(&(target, kind)).is_some_and(|until| *until > now))
     }
@@ -58,7 +59,7 @@
         self.with(|inner| inner.rng.random_range(0..100) < percent)
     }
 
-    pub fn within(&self, range: std::ops::Range<u64>) -> Ms {
+    pub fn random_ms(&self, range: std::ops::Range<u64>) -> Ms {
         Ms(self.with(|inner| inner.rng.random_range(range)))
     }
 
--- a/crates/entry/tests/sim/mutation.rs
+++ b/crates/entry/tests/sim/mutation.rs
@@ -1,4 +1,5 @@
-//! The safeguards, each taken out by a double in the tests.
+//! Mutations: each disables one safeguard of the host by a test double, to show that the simulation
+//! would detect its absence.
 
 use async_trait::async_trait;
 use base::Ms;
@@ -10,17 +11,18 @@
 use crate::oracle::Violation;
 use crate::targets::json;
 
+/// The disabled safeguard.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 pub enum Mutation {
-    /// Keys are granted without a record.
+    /// Keys are granted without being recorded.
     Record,
-    /// Every answer seems to be the call's own.
+    /// Every response appears to belong to the call.
     Correlation,
-    /// Every piece seems to be the next.
+    /// Every piece appears to be the next one.
     Offsets,
-    /// A stream that ends without its end mark seems complete.
+    /// A stream that ends without an end mark appears complete.
     EndMark,
-    /// What was handed to a socket isn't counted.
+    /// The reducer is not told what was written to a socket.
     Ledger,
 }
 
@@ -28,13 +30,13 @@
     pub const ALL: [Self; 5] =
         [Self::Record, Self::Correlation, Self::Offsets, Self::EndMark, Self::Ledger];
 
-    /// Whether a violation is what this one must show as.
-    pub fn shows(self, violation: &Violation) -> bool {
+    /// Whether a violation is one that this mutation is expected to cause.
+    pub fn detects(self, violation: &Violation) -> bool {
         match self {
             Self::Record => matches!(violation, Violation::RanTwice { .. }),
-            // What isn't known to have been sent is sent again, or said not to have run.
+            // A call that isn't known to have been sent is sent again, or reported as not run.
             Self::Ledger => {
-                matches!(violation, Violation::RanTwice { .. } | Violation::RanThough { .. })
+                matches!(violation, Violation::RanTwice { .. } | Violation::RanDespiteNo { .. })
             }
             Self::Correlation | Self::Offsets | Self::EndMark => {
                 matches!(violation, Violation::WrongText { .. })
@@ -42,8 +44,8 @@
         }
     }
 
-    /// A part of a response as the safeguard's absence would let it through. `next` is the token
-    /// that the connection has come to.
+    /// Rewrites a part of a response so that the check which the mutation disables passes. `next`
+    /// is the offset of the next token on the connection.
     pub fn rewrite(
         mutation: Option<Self>,
         call: &StageCall,
@@ -69,8 +71,8 @@
         }
     }
 
-    /// The end that a cut stream seems to have.
-    pub fn completes(mutation: Option<Self>, call: &StageCall, next: u32) -> Option<Piece> {
+    /// The end mark to add to a stream that ended without one, if the mutation asks for it.
+    pub fn fake_end(mutation: Option<Self>, call: &StageCall, next: u32) -> Option<Piece> {
         let piece = || Piece {
             request: call.request.clone(),
             stage: call.stage.clone(),
@@ -83,11 +85,11 @@
     }
 }
 
-/// Grants every key.
-pub struct Grants;
+/// A journal that grants every key and records nothing.
+pub struct GrantAll;
 
 #[async_trait]
-impl Journal for Grants {
+impl Journal for GrantAll {
     async fn register(&self, _: &Claim) -> Granted {
         Granted::Granted
     }
@@ -99,10 +101,10 @@
     async fn close(&self) {}
 }
 
-/// Doesn't hear what was handed to a socket.
-pub struct Deaf(pub Box<dyn Reducer>);
+/// Hides from the reducer what was written to a socket.
+pub struct IgnoreSent(pub Box<dyn Reducer>);
 
-impl Reducer for Deaf {
+impl Reducer for IgnoreSent {
     fn reduce(&mut self, now: Ms, event: Event, out: &mut Vec<Effect>) {
         if !matches!(event, Event::Sent { .. }) {
             self.0.reduce(now, event, out);
--- a/crates/entry/tests/sim/oracle.rs
+++ b/crates/entry/tests/sim/oracle.rs
@@ -1,4 +1,4 @@
-//! What callers were told, against what the targets ran.
+//! Checks what callers were told against what the targets ran.
 
 use base::Ms;
 use fakes::{expected_output, generated};
@@ -8,42 +8,44 @@
 
 use crate::targets::RunLog;
 
-/// What one caller asked for and was told.
+/// What one caller asked for and what it was told.
 #[derive(Clone, Debug)]
-pub struct Told {
-    /// Which step of the schedule it was.
-    pub turn: usize,
+pub struct CallerRecord {
+    /// Index of the schedule's step that sent the request.
+    pub step_index: usize,
     pub request: String,
     pub pipeline: &'static str,
     pub input: String,
     pub key: String,
     /// Whether the caller said that it had sent the key before.
     pub resent: bool,
-    /// Pieces, as offset and text.
+    /// Received pieces, as offset and text.
     pub pieces: Vec<(u32, String)>,
     pub end: End,
 }
 
+/// How a request ended for its caller.
 #[derive(Clone, Debug, PartialEq)]
 pub enum End {
     /// The whole answer.
     Whole(String),
-    /// A refusal, and when it came.
+    /// A refusal, and when it arrived.
     Refused { ran: Ran, at: Ms },
-    /// The caller went, or its host died.
+    /// The caller disconnected, or its host was killed.
     Gone,
-    /// The host lives, the caller waits, and nothing came.
+    /// The host is running and the caller waited, but no final reply arrived.
     Never,
 }
 
+/// A broken guarantee.
 #[derive(Debug, Error)]
 pub enum Violation {
     #[error("key {key} ran {runs} times")]
     RanTwice { key: String, runs: usize },
-    #[error("request {request} reads {got:?} instead of {wanted:?}")]
-    WrongText { request: String, got: String, wanted: String },
+    #[error("request {request} reads {got:?} instead of {expected:?}")]
+    WrongText { request: String, got: String, expected: String },
     #[error("request {request} was told that it didn't run, but it did")]
-    RanThough { request: String },
+    RanDespiteNo { request: String },
     #[error("request {request} was told that it ran, but it didn't")]
     NotRun { request: String },
     #[error("key {key} never ran, and can't any more: {end}")]
@@ -52,11 +54,11 @@
     Never { request: String },
 }
 
-/// Tokens of the pipeline `write`.
+/// Number of tokens that the pipeline `write` generates.
 pub const TOKENS: u32 = 40;
 
-/// What a single host that never fails answers.
-pub fn answer(pipeline: &str, input: &str) -> String {
+/// The answer of a single host without faults.
+pub fn expected_answer(pipeline: &str, input: &str) -> String {
     let encoded = expected_output("encode", input);
     let second = format!("{input}\n{encoded}");
     match pipeline {
@@ -65,36 +67,39 @@
     }
 }
 
-pub fn judge(told: &[Told], runs: &[RunLog]) -> Result<(), Violation> {
-    let mut keys: BTreeMap<&str, usize> = BTreeMap::new();
+/// Checks that no key ran twice and that each caller was told the truth.
+pub fn check_records(records: &[CallerRecord], runs: &[RunLog]) -> Result<(), Violation> {
+    let mut runs_by_key: BTreeMap<&str, usize> = BTreeMap::new();
     for run in runs.iter().filter(|r| !r.key.is_empty()) {
-        *keys.entry(&run.key).or_default() += 1;
+        *runs_by_key.entry(&run.key).or_default() += 1;
     }
-    if let Some((key, runs)) = keys.into_iter().find(|(_, runs)| *runs > 1) {
+    if let Some((key, runs)) = runs_by_key.into_iter().find(|(_, runs)| *runs > 1) {
         return Err(Violation::RanTwice { key: key.to_owned(), runs });
     }
-    told.iter().try_for_each(|one| judge_one(one, runs))
+    records.iter().try_for_each(|record| check_record(record, runs))
 }
 
-fn judge_one(told: &Told, runs: &[RunLog]) -> Result<(), Violation> {
-    let request = told.request.clone();
-    let wanted = answer(told.pipeline, &told.input);
-    let read: String = told.pieces.iter().map(|(_, text)| text.as_str()).collect();
-    let follow = told.pieces.iter().enumerate().all(|(i, (offset, _))| *offset == i as u32);
-    if !follow || !wanted.starts_with(&read) {
-        return Err(Violation::WrongText { request, got: read, wanted });
+fn check_record(record: &CallerRecord, runs: &[RunLog]) -> Result<(), Violation> {
+    let request = record.request.clone();
+    let expected = expected_answer(record.pipeline, &record.input);
+    let read: String = record.pieces.iter().map(|(_, text)| text.as_str()).collect();
+    let contiguous = record.pieces.iter().enumerate().all(|(i, (offset, _))| *offset == i as u32);
+    if !contiguous || !expected.starts_with(&read) {
+        return Err(Violation::WrongText { request, got: read, expected });
     }
-    // A re-send stands for the same work as the sends before it. A first send can't know of later
-    // ones, which its caller made without waiting for it: it answers for itself.
-    let own = |run: &&RunLog| run.request == told.request || (told.resent && run.key == told.key);
-    match &told.end {
-        End::Whole(got) if *got != wanted || (!read.is_empty() && read != wanted) => {
-            Err(Violation::WrongText { request, got: got.clone(), wanted })
+    // A re-send stands for the same work as the earlier sends of its key. A first send can't know
+    // of later ones, which its caller made without waiting for the first; it stands for its own run
+    // only.
+    let same_work =
+        |run: &&RunLog| run.request == record.request || (record.resent && run.key == record.key);
+    match &record.end {
+        End::Whole(got) if *got != expected || (!read.is_empty() && read != expected) => {
+            Err(Violation::WrongText { request, got: got.clone(), expected })
         }
-        End::Refused { ran: Ran::No, at } if runs.iter().filter(own).any(|r| r.at <= *at) => {
-            Err(Violation::RanThough { request })
+        End::Refused { ran: Ran::No, at } if runs.iter().filter(same_work).any(|r| r.at <= *at) => {
+            Err(Violation::RanDespiteNo { request })
         }
-        End::Refused { ran: Ran::Yes, .. } if !runs.iter().any(|r| own(&r)) => {
+        End::Refused { ran: Ran::Yes, .. } if !runs.iter().any(|r| same_work(&r)) => {
             Err(Violation::NotRun { request })
         }
         End::Never => Err(Violation::Never { request }),
--- a/crates/entry/tests/sim/schedule.rs
+++ b/crates/entry/tests/sim/schedule.rs
@@ -1,17 +1,19 @@
-//! What happens, and when.
+//! Random schedules: what happens in a simulation run, and when.
 
 use base::Ms;
 use proptest::prelude::*;
 use proptest::strategy::ValueTree;
 use proptest::test_runner::{Config, RngAlgorithm, TestRng, TestRunner};
 
-/// Entry hosts.
+/// Number of entry hosts.
 pub const HOSTS: usize = 3;
-/// Targets: two encoders, two engines, two registers, in the order of the configuration.
+/// Number of targets: two encoders, two engines and two registers, in the order of the
+/// configuration.
 pub const TARGETS: usize = 6;
-/// Idempotency keys that callers use.
+/// Number of idempotency keys that callers use.
 pub const KEYS: usize = 4;
 
+/// The steps of a run, each with the delay before it.
 #[derive(Clone, Debug)]
 pub struct Schedule {
     pub seed: u64,
@@ -20,17 +22,17 @@
 
 #[derive(Clone, Copy, Debug)]
 pub enum Step {
-    /// A caller asks for text, and goes away after `patience` if it has no answer.
+    /// A caller requests text, and disconnects after `max_wait` without an answer.
     Write {
         host: usize,
         input: u8,
-        patience: Ms,
+        max_wait: Ms,
     },
-    /// A caller sends a key; each time after the first it says so.
+    /// A caller sends a key. Every send after the first is marked as a re-send.
     SignOff {
         host: usize,
         key: usize,
-        patience: Ms,
+        max_wait: Ms,
     },
     Kill {
         host: usize,
@@ -40,86 +42,86 @@
     },
     Pause {
         host: usize,
-        span: Ms,
+        duration: Ms,
     },
     Fault {
         target: usize,
-        kind: Kind,
-        span: Ms,
+        kind: FaultKind,
+        duration: Ms,
     },
     Cut {
         host: usize,
         target: usize,
-        span: Ms,
+        duration: Ms,
     },
     Outage {
-        span: Ms,
+        duration: Ms,
     },
     LostAnswers {
-        span: Ms,
+        duration: Ms,
     },
     LateWrites {
-        span: Ms,
+        duration: Ms,
     },
 }
 
-/// What a target does wrong for a while.
+/// A fault of a target that lasts for some time.
 #[derive(Clone, Copy, Debug, PartialEq, Eq, PartialOrd, Ord)]
-pub enum Kind {
-    /// Everything it runs is lost, its connections break, and it can't be reached.
+pub enum FaultKind {
+    /// The target loses everything that it runs, its connections break, and it can't be reached.
     Down,
-    /// Its open connections go silent for good; new ones work.
+    /// Its open connections go silent permanently; new ones work.
     Silent,
-    /// It turns calls away.
+    /// It refuses calls as overloaded.
     Full,
-    /// Its answers carry another request's identifier and text.
+    /// Some of its responses carry another request's identifier and text.
     Foreign,
-    /// It sends pieces twice, and old ones late.
+    /// It sends some pieces twice, and some old pieces late.
     Doubled,
-    /// It takes forty times as long, past the bound on silence.
+    /// It takes forty times as long, which can exceed the idle timeout.
     Slow,
-    /// Its streams end early without an end mark.
+    /// Some of its streams end early without an end mark.
     Cut,
 }
 
-fn span() -> impl Strategy<Value = Ms> {
+fn duration() -> impl Strategy<Value = Ms> {
     (10u64..2_000).prop_map(Ms)
 }
 
-fn kind() -> impl Strategy<Value = Kind> {
-    use Kind::*;
+fn kind() -> impl Strategy<Value = FaultKind> {
+    use FaultKind::*;
     prop::sample::select(vec![Down, Silent, Full, Foreign, Doubled, Slow, Cut])
 }
 
 fn step() -> impl Strategy<Value = Step> {
     let host = 0..HOSTS;
-    let patience = prop_oneof![3 => Just(Ms::secs(20)), 1 => (1u64..300).prop_map(Ms)];
+    let max_wait = prop_oneof![3 => Just(Ms::secs(20)), 1 => (1u64..300).prop_map(Ms)];
     prop_oneof![
-        6 => (host.clone(), any::<u8>(), patience.clone())
-            .prop_map(|(host, input, patience)| Step::Write { host, input, patience }),
-        8 => (host.clone(), 0..KEYS, patience)
-            .prop_map(|(host, key, patience)| Step::SignOff { host, key, patience }),
+        6 => (host.clone(), any::<u8>(), max_wait.clone())
+            .prop_map(|(host, input, max_wait)| Step::Write { host, input, max_wait }),
+        8 => (host.clone(), 0..KEYS, max_wait)
+            .prop_map(|(host, key, max_wait)| Step::SignOff { host, key, max_wait }),
         1 => host.clone().prop_map(|host| Step::Kill { host }),
         2 => host.clone().prop_map(|host| Step::Boot { host }),
-        1 => (host.clone(), span()).prop_map(|(host, span)| Step::Pause { host, span }),
-        6 => (0..TARGETS, kind(), span())
-            .prop_map(|(target, kind, span)| Step::Fault { target, kind, span }),
-        1 => (host, 0..TARGETS, span())
-            .prop_map(|(host, target, span)| Step::Cut { host, target, span }),
-        1 => span().prop_map(|span| Step::Outage { span }),
-        1 => span().prop_map(|span| Step::LostAnswers { span }),
-        1 => span().prop_map(|span| Step::LateWrites { span }),
+        1 => (host.clone(), duration()).prop_map(|(host, duration)| Step::Pause { host, duration }),
+        6 => (0..TARGETS, kind(), duration())
+            .prop_map(|(target, kind, duration)| Step::Fault { target, kind, duration }),
+        1 => (host, 0..TARGETS, duration())
+            .prop_map(|(host, target, duration)| Step::Cut { host, target, duration }),
+        1 => duration().prop_map(|duration| Step::Outage { duration }),
+        1 => duration().prop_map(|duration| Step::LostAnswers { duration }),
+        1 => duration().prop_map(|duration| Step::LateWrites { duration }),
     ]
 }
 
-/// The schedule of a seed.
+/// Generates the schedule of a seed.
 pub fn schedule_of(seed: u64) -> Schedule {
     let mut bytes = [0; 32];
     bytes[..8].copy_from_slice(&seed.to_le_bytes());
     let rng = TestRng::from_seed(RngAlgorithm::ChaCha, &bytes);
     let mut runner = TestRunner::new_with_rng(Config::default(), rng);
-    let gap = prop_oneof![3 => 0u64..40, 1 => 40u64..800].prop_map(Ms);
-    let steps = prop::collection::vec((gap, step()), 10..40);
+    let delay = prop_oneof![3 => 0u64..40, 1 => 40u64..800].prop_map(Ms);
+    let steps = prop::collection::vec((delay, step()), 10..40);
     let steps = steps.new_tree(&mut runner).expect("a schedule").current();
     Schedule { seed, steps }
 }
--- a/crates/entry/tests/sim/targets.rs
+++ b/crates/entry/tests/sim/targets.rs
@@ -1,9 +1,9 @@
-//! Targets in memory, behind the host's border to targets.
+//! In-memory targets behind the host's connector interface.
 
 use async_trait::async_trait;
 use base::Ms;
 use bytes::Bytes;
-use entry::{Bounds, Dial, Line, Probed};
+use entry::{CallLimits, Connection, Connector, ProbeResult};
 use fakes::{Gate, expected_output, token};
 use hyper::StatusCode;
 use link::{Freshness, LinkError};
@@ -16,12 +16,12 @@
 
 use crate::faults::Faults;
 use crate::mutation::Mutation;
-use crate::schedule::Kind;
+use crate::schedule::FaultKind;
 
-/// The targets that stream.
+/// Indices of the targets that stream.
 const ENGINES: [usize; 2] = [2, 3];
 
-/// One call that a target began to run.
+/// A call that a target started to run.
 #[derive(Clone, Debug)]
 pub struct RunLog {
     pub request: String,
@@ -38,10 +38,11 @@
 #[derive(Default)]
 struct Inner {
     runs: Vec<RunLog>,
-    /// Keys that were handed to a connection, whether they arrived or not.
-    handed: BTreeSet<String>,
+    /// Keys that were handed to a connection, whether or not they arrived.
+    handed_keys: BTreeSet<String>,
     calls: BTreeMap<String, Call>,
-    /// Counts a target's crashes and silences: what is of an older count is lost.
+    /// Number of crashes and silences of each target. Connections and calls started at a lower
+    /// count are lost.
     crashes: BTreeMap<usize, u32>,
     silences: BTreeMap<usize, u32>,
 }
@@ -57,17 +58,17 @@
         Arc::new(Self { faults, inner: Mutex::default() })
     }
 
-    pub fn fault(&self, target: usize, kind: Kind, span: Ms) {
-        self.faults.set(target, kind, span);
+    pub fn fault(&self, target: usize, kind: FaultKind, duration: Ms) {
+        self.faults.set(target, kind, duration);
         let mut inner = self.lock();
         match kind {
-            Kind::Down => {
+            FaultKind::Down => {
                 *inner.crashes.entry(target).or_default() += 1;
-                // What it knew of its calls is gone with it.
+                // The target forgets its calls.
                 let prefix = format!("{target}/");
                 inner.calls.retain(|id, _| !id.starts_with(&prefix));
             }
-            Kind::Silent => *inner.silences.entry(target).or_default() += 1,
+            FaultKind::Silent => *inner.silences.entry(target).or_default() += 1,
             _ => {}
         }
     }
@@ -76,8 +77,8 @@
         self.lock().runs.clone()
     }
 
-    pub fn handed(&self) -> BTreeSet<String> {
-        self.lock().handed.clone()
+    pub fn handed_keys(&self) -> BTreeSet<String> {
+        self.lock().handed_keys.clone()
     }
 
     fn crashes(&self, target: usize) -> u32 {
@@ -88,12 +89,12 @@
         self.lock().silences.get(&target).copied().unwrap_or(0)
     }
 
-    fn pace(&self, target: usize, range: std::ops::Range<u64>) -> Ms {
-        let time = self.faults.within(range);
-        if self.faults.has(target, Kind::Slow) { time.scale(40, 1) } else { time }
+    fn delay(&self, target: usize, range: std::ops::Range<u64>) -> Ms {
+        let time = self.faults.random_ms(range);
+        if self.faults.has(target, FaultKind::Slow) { time.scale(40, 1) } else { time }
     }
 
-    fn begin(&self, target: usize, call: &StageCall) -> String {
+    fn record_start(&self, target: usize, call: &StageCall) -> String {
         let id = call_id(target, call);
         let mut inner = self.lock();
         let at = self.faults.now();
@@ -102,10 +103,10 @@
         id
     }
 
-    /// Runs a call to its end, unless the target crashes.
+    /// Runs a call to its end, unless the target crashes or the stream is cut.
     async fn run(self: Arc<Self>, target: usize, call: StageCall, out: mpsc::Sender<Bytes>) {
-        let life = self.crashes(target);
-        let id = self.begin(target, &call);
+        let crash_count = self.crashes(target);
+        let id = self.record_start(target, &call);
         let engine = ENGINES.contains(&target);
         let mut reply = StageReply {
             request: call.request.clone(),
@@ -113,20 +114,20 @@
             attempt: call.attempt,
             ..StageReply::default()
         };
-        sleep(self.pace(target, 3..20).duration()).await;
+        sleep(self.delay(target, 3..20).duration()).await;
         if !engine {
             reply.output = expected_output(&call.stage, &call.input);
-            if self.crashes(target) == life {
+            if self.crashes(target) == crash_count {
                 self.lock().calls.insert(id, Call::Done(reply.clone()));
-                self.foreign(target, &mut reply.request, &mut reply.output);
+                self.corrupt(target, &mut reply.request, &mut reply.output);
                 let _ = out.send(json(&reply)).await;
             }
             return;
         }
         for offset in call.offset..call.max_tokens {
-            sleep(self.pace(target, 1..4).duration()).await;
-            let cut = self.faults.has(target, Kind::Cut) && self.faults.chance(20);
-            if cut || self.crashes(target) != life {
+            sleep(self.delay(target, 1..4).duration()).await;
+            let cut = self.faults.has(target, FaultKind::Cut) && self.faults.chance(20);
+            if cut || self.crashes(target) != crash_count {
                 return;
             }
             self.lock().calls.insert(id.clone(), Call::Running(offset + 1));
@@ -140,10 +141,10 @@
                 end: offset + 1 == call.max_tokens,
                 ..Piece::default()
             };
-            self.foreign(target, &mut piece.request, &mut piece.text);
+            self.corrupt(target, &mut piece.request, &mut piece.text);
             let mut sent = vec![json(&piece)];
-            if self.faults.has(target, Kind::Doubled) && self.faults.chance(30) {
-                let old = offset.saturating_sub(self.faults.within(0..4).0 as u32);
+            if self.faults.has(target, FaultKind::Doubled) && self.faults.chance(30) {
+                let old = offset.saturating_sub(self.faults.random_ms(0..4).0 as u32);
                 let late =
                     Piece { offset: old, text: token(&call.input, old), end: false, ..piece };
                 sent.insert(0, json(&late));
@@ -158,8 +159,8 @@
         self.lock().calls.insert(id, Call::Done(reply));
     }
 
-    fn foreign(&self, target: usize, request: &mut String, text: &mut String) {
-        if self.faults.has(target, Kind::Foreign) && self.faults.chance(30) {
+    fn corrupt(&self, target: usize, request: &mut String, text: &mut String) {
+        if self.faults.has(target, FaultKind::Foreign) && self.faults.chance(30) {
             *request = "another".to_owned();
             *text = "foreign ".to_owned();
         }
@@ -170,37 +171,37 @@
     }
 }
 
-/// One host's ways to the targets.
-pub struct Ways {
+/// Connects one host to the targets.
+pub struct MemConnector {
     pub targets: Arc<Targets>,
     pub host: usize,
     pub gate: Arc<Gate>,
     pub mutation: Option<Mutation>,
 }
 
-impl Ways {
+impl MemConnector {
     fn reachable(&self, target: usize) -> bool {
         let faults = &self.targets.faults;
-        !faults.has(target, Kind::Down) && !faults.is_cut(self.host, target)
+        !faults.has(target, FaultKind::Down) && !faults.is_cut(self.host, target)
     }
 }
 
 #[async_trait]
-impl Dial for Ways {
-    async fn open(&self, addr: SocketAddr, _: Freshness) -> Result<Box<dyn Line>, LinkError> {
+impl Connector for MemConnector {
+    async fn open(&self, addr: SocketAddr, _: Freshness) -> Result<Box<dyn Connection>, LinkError> {
         self.gate.pass().await;
         let target = usize::from(addr.port()) - 1;
-        sleep(self.targets.faults.within(0..3).duration()).await;
+        sleep(self.targets.faults.random_ms(0..3).duration()).await;
         self.gate.pass().await;
         if !self.reachable(target) {
             return Err(LinkError::Connect);
         }
-        Ok(Box::new(MemLine {
+        Ok(Box::new(MemConnection {
             targets: self.targets.clone(),
             host: self.host,
             target,
-            life: self.targets.crashes(target),
-            silence: self.targets.silences(target),
+            crash_count: self.targets.crashes(target),
+            silence_count: self.targets.silences(target),
             gate: self.gate.clone(),
             mutation: self.mutation,
             call: StageCall::default(),
@@ -210,112 +211,113 @@
         }))
     }
 
-    async fn probe(&self, addr: SocketAddr, call: &StageCall, bounds: Bounds) -> Probed {
+    async fn probe(&self, addr: SocketAddr, call: &StageCall, limits: CallLimits) -> ProbeResult {
         self.gate.pass().await;
         let target = usize::from(addr.port()) - 1;
         if !self.reachable(target) {
-            sleep(bounds.silence.duration()).await;
-            return Probed::Dead;
+            sleep(limits.idle_timeout.duration()).await;
+            return ProbeResult::Unreachable;
         }
-        sleep(self.targets.faults.within(0..3).duration()).await;
+        sleep(self.targets.faults.random_ms(0..3).duration()).await;
         let found = self.targets.lock().calls.get(&call_id(target, call)).cloned();
         match found {
-            Some(Call::Running(tokens)) => Probed::Running { tokens },
-            Some(Call::Done(reply)) => Probed::Done(Box::new(reply)),
-            None => Probed::Lost,
+            Some(Call::Running(tokens)) => ProbeResult::Running { tokens },
+            Some(Call::Done(reply)) => ProbeResult::Done(Box::new(reply)),
+            None => ProbeResult::Lost,
         }
     }
 
     fn clear(&self, _: SocketAddr) {}
 }
 
-struct MemLine {
+struct MemConnection {
     targets: Arc<Targets>,
     host: usize,
     target: usize,
-    life: u32,
-    silence: u32,
+    crash_count: u32,
+    silence_count: u32,
     gate: Arc<Gate>,
     mutation: Option<Mutation>,
     call: StageCall,
-    /// The token that the response has come to.
+    /// Offset of the next token of the response.
     next: u32,
-    /// What came with the head.
+    /// The reply that arrived with the head of the response.
     first: Option<Bytes>,
     answer: Option<mpsc::Receiver<Bytes>>,
 }
 
-impl MemLine {
-    fn broken(&self) -> bool {
-        self.targets.crashes(self.target) != self.life
+impl MemConnection {
+    fn is_broken(&self) -> bool {
+        self.targets.crashes(self.target) != self.crash_count
     }
 
-    fn mute(&self) -> bool {
-        self.targets.silences(self.target) != self.silence
+    fn is_silent(&self) -> bool {
+        self.targets.silences(self.target) != self.silence_count
             || self.targets.faults.is_cut(self.host, self.target)
     }
 }
 
 #[async_trait]
-impl Line for MemLine {
-    async fn send(&mut self, body: Bytes, silence: Ms) -> Result<StatusCode, LinkError> {
+impl Connection for MemConnection {
+    async fn send(&mut self, body: Bytes, idle_timeout: Ms) -> Result<StatusCode, LinkError> {
         self.call = serde_json::from_slice(&body).expect("a call");
-        self.targets.lock().handed.insert(self.call.key.clone());
+        self.targets.lock().handed_keys.insert(self.call.key.clone());
         self.gate.pass().await;
-        sleep(self.targets.faults.within(0..3).duration()).await;
+        sleep(self.targets.faults.random_ms(0..3).duration()).await;
         self.gate.pass().await;
         self.next = self.call.offset;
-        // A silent connection may have lost the call or only its answer.
-        let arrives = !self.broken() && (!self.mute() || self.targets.faults.chance(50));
-        if arrives && self.targets.faults.has(self.target, Kind::Full) && !self.mute() {
+        // A silent connection may have lost the call or only its response.
+        let arrives = !self.is_broken() && (!self.is_silent() || self.targets.faults.chance(50));
+        if arrives && self.targets.faults.has(self.target, FaultKind::Full) && !self.is_silent() {
             return Ok(StatusCode::SERVICE_UNAVAILABLE);
         }
         if arrives {
             let (tx, rx) = mpsc::channel(1024);
             self.answer = Some(rx);
             let (targets, target, call) = (self.targets.clone(), self.target, self.call.clone());
-            // It runs on though its caller goes: what that does to the promises is the worst.
+            // The call keeps running even if its host cancels it: that is the worst case for the
+            // guarantees under test.
             tokio::spawn(targets.run(target, call, tx));
         }
         match () {
-            () if self.mute() => {
-                sleep(silence.duration()).await;
+            () if self.is_silent() => {
+                sleep(idle_timeout.duration()).await;
                 Err(LinkError::Silent)
             }
             () if !arrives => Err(LinkError::Broken { reused: false }),
-            () => self.wait(silence).await,
+            () => self.wait(idle_timeout).await,
         }
     }
 
-    /// The head of a whole answer comes with the answer, that of a stream at once.
-    async fn wait(&mut self, silence: Ms) -> Result<StatusCode, LinkError> {
+    /// The head of a whole reply arrives together with the reply, that of a stream at once.
+    async fn wait(&mut self, idle_timeout: Ms) -> Result<StatusCode, LinkError> {
         if !ENGINES.contains(&self.target) {
-            self.first = self.chunk(silence).await?;
+            self.first = self.chunk(idle_timeout).await?;
         }
         Ok(StatusCode::OK)
     }
 
-    async fn chunk(&mut self, silence: Ms) -> Result<Option<Bytes>, LinkError> {
+    async fn chunk(&mut self, idle_timeout: Ms) -> Result<Option<Bytes>, LinkError> {
         self.gate.pass().await;
         if let Some(first) = self.first.take() {
             return Ok(Some(first));
         }
-        if self.mute() {
-            sleep(silence.duration()).await;
+        if self.is_silent() {
+            sleep(idle_timeout.duration()).await;
             return Err(LinkError::Silent);
         }
         let Some(answer) = &mut self.answer else { return Ok(None) };
-        let next = timeout(silence.duration(), answer.recv()).await;
+        let next = timeout(idle_timeout.duration(), answer.recv()).await;
         self.gate.pass().await;
         match next {
             Err(_) => Err(LinkError::Silent),
-            Ok(_) if self.mute() => {
-                sleep(silence.duration()).await;
+            Ok(_) if self.is_silent() => {
+                sleep(idle_timeout.duration()).await;
                 Err(LinkError::Silent)
             }
-            Ok(None) if self.broken() => Err(LinkError::Broken { reused: false }),
+            Ok(None) if self.is_broken() => Err(LinkError::Broken { reused: false }),
             Ok(None) if !ENGINES.contains(&self.target) => Ok(None),
-            Ok(None) => match Mutation::completes(self.mutation, &self.call, self.next) {
+            Ok(None) => match Mutation::fake_end(self.mutation, &self.call, self.next) {
                 Some(piece) => Ok(Some(json(&piece))),
                 None => Ok(None),
             },
@@ -326,7 +328,7 @@
         }
     }
 
-    fn keep(self: Box<Self>) {}
+    fn release(self: Box<Self>) {}
 }
 
 pub fn json<T: serde::Serialize>(value: &T) -> Bytes {
