--- a/bins/siskinwheeld/src/main.rs
+++ b/bins/siskinwheeld/src/main.rs
@@ -1,4 +1,4 @@
-//! The entry host: `siskinwheeld SETTINGS.yaml`.
+//! The entry host's program: `siskinwheeld SETTINGS.yaml`.
 
 use anyhow::{Context, Result, bail};
 use conf::Settings;
--- a/bins/siskinwheeld/tests/system/env/mod.rs
+++ b/bins/siskinwheeld/tests/system/env/mod.rs
@@ -1,6 +1,7 @@
-//! A fleet of real processes on loopback: the platform and targets as stand-ins, and entry hosts.
+//! Test environment: a fleet of real processes on loopback, with a fake platform, fake targets and
+//! entry hosts.
 //!
-//! Each process is ended by its own id when the environment is dropped.
+//! Dropping the environment kills each process by its own id.
 
 use base::{Clock, Generation, Key, Ms, SystemClock, Version};
 use bytes::Bytes;
@@ -17,26 +18,26 @@
 use store::{Api, HttpApi, HttpConfig};
 use wire::{Ask, HostEntry, HostList};
 
-/// Longest wait for a process to say that it is ready.
-const START_MS: Ms = Ms::secs(20);
-/// Longest answer that is read, bytes.
-const ANSWER_BYTES: usize = 4 << 20;
+/// Longest wait for a process to report that it is ready.
+const START_TIMEOUT: Ms = Ms::secs(20);
+/// Largest response that is read, in bytes.
+const MAX_ANSWER_BYTES: usize = 4 << 20;
 
-/// One process.
+/// A child process and its address. It is killed on drop.
 pub struct Process {
     child: Child,
     pub addr: SocketAddr,
 }
 
 impl Process {
-    /// Sends a signal by number, to this process only.
+    /// Sends a signal to this process only; `name` is an option of `kill`, such as `-TERM`.
     pub fn signal(&self, name: &str) {
         let pid = self.child.id().to_string();
         let status = Command::new("kill").args([name, &pid]).status().expect("kill runs");
         assert!(status.success(), "signal {name} to {pid}");
     }
 
-    /// Waits for its end.
+    /// Waits until the process has exited.
     pub fn wait(&mut self) -> ExitStatus {
         self.child.wait().expect("the process can be waited for")
     }
@@ -44,13 +45,13 @@
 
 impl Drop for Process {
     fn drop(&mut self) {
-        // It may have ended already.
+        // The process may have exited already.
         let _ = self.child.kill();
         let _ = self.child.wait();
     }
 }
 
-/// An entry host's process.
+/// The process of an entry host, with its addresses and its settings file.
 pub struct HostProcess {
     pub process: Process,
     pub admin: SocketAddr,
@@ -73,28 +74,28 @@
 }
 
 impl Env {
-    /// Starts what `yaml` declares with two hosts in each failure domain, and waits until all
-    /// hosts take requests.
+    /// Starts the fleet declared in `yaml` with two hosts in each failure domain, and waits until
+    /// all hosts are ready.
     pub async fn start(yaml: &str) -> Self {
         Self::start_with(yaml, 2, "").await
     }
 
-    /// Starts it with `hosts` hosts a domain and more lines in each host's settings.
+    /// Starts the fleet with `hosts` hosts in each domain and extra lines in each host's settings.
     pub async fn start_with(yaml: &str, hosts: usize, settings: &str) -> Self {
         let mut fleet = Fleet::parse(yaml).expect("the configuration parses");
-        let platform = fake(&["platform", "--listen", "127.0.0.1:0"]);
-        let targets = targets(&mut fleet);
+        let platform = start_fake(&["platform", "--listen", "127.0.0.1:0"]);
+        let targets = start_targets(&mut fleet);
         let mut env = Self { platform, targets, hosts: Vec::new(), fleet };
         env.apply("first configuration").await;
         let mut list = HostList::default();
         for region in env.fleet.regions.clone() {
             for domain in &region.domains {
                 for i in 0..hosts {
-                    let head = format!(
+                    let host_settings = format!(
                         "host: {0}-{i}\ndomain: {0}\nregion: {1}\nplatform: {2}\n{settings}",
                         domain.name, region.name, env.platform.addr
                     );
-                    let started = host(&head);
+                    let started = start_host(&host_settings);
                     list.hosts.push(HostEntry {
                         name: format!("{}-{i}", domain.name),
                         domain: domain.name.to_string(),
@@ -105,14 +106,14 @@
                 }
             }
         }
-        env.list(&list).await;
+        env.write_host_list(&list).await;
         for host in &env.hosts {
-            until_ready(host.admin).await;
+            wait_until_ready(host.admin).await;
         }
         env
     }
 
-    /// Applies the fleet as it is now.
+    /// Applies the current `fleet` as the configuration.
     pub async fn apply(&self, why: &str) -> Generation {
         let note = ChangeNote { who: "test", why, at: SystemClock::new().now() };
         let yaml = self.fleet.to_yaml();
@@ -120,8 +121,8 @@
         applied.expect("the configuration is accepted").generation
     }
 
-    /// Writes the platform's list of hosts, from which they learn of each other.
-    async fn list(&self, list: &HostList) {
+    /// Writes the list of hosts to the platform; the hosts learn of each other from it.
+    async fn write_host_list(&self, list: &HostList) {
         let kind = gossip::Kind::Hosts.name();
         let body = serde_json::to_string(list).expect("JSON");
         self.api().put(kind, kind, Version(0), &body).await.expect("the list is written");
@@ -133,34 +134,34 @@
         HttpApi::new(self.platform.addr, config)
     }
 
-    /// Asks host `turn`; `headers` come on top of the workspace.
+    /// Sends a request to a host. `headers` are added to the workspace header.
     pub async fn ask(
         &self,
-        turn: usize,
+        host_index: usize,
         pipeline: &str,
         input: &str,
         headers: &[(&str, &str)],
     ) -> Result<Response<Bytes>, LinkError> {
-        let addr = self.hosts[turn].process.addr;
+        let addr = self.hosts[host_index].process.addr;
         ask(addr, pipeline, self.fleet.workspaces[0].name.as_str(), input, headers).await
     }
 
-    /// Sets a stand-in's faults.
-    pub async fn faults(&self, addr: SocketAddr, json: &str) {
+    /// Sets the faults of a fake process.
+    pub async fn set_faults(&self, addr: SocketAddr, json: &str) {
         let request = Request::builder().method(Method::POST).uri("/faults").header("host", "x");
         let request = request.body(Bytes::copy_from_slice(json.as_bytes())).expect("a request");
-        let response = call(addr, request).await.expect("the stand-in answers");
+        let response = call(addr, request).await.expect("the fake answers");
         assert!(response.status().is_success(), "{}", text(&response));
     }
 
-    /// Reads what a target counted.
+    /// Reads a target's statistics.
     pub async fn target_stats(&self, name: &str) -> fakes::TargetStats {
         let response = get(self.targets[name].addr, "/v1/stats").await.expect("the target answers");
         serde_json::from_slice(response.body()).expect("statistics")
     }
 }
 
-/// One request to an entry host, answered whole.
+/// Sends a request to an entry host and reads the whole response.
 pub async fn ask(
     addr: SocketAddr,
     pipeline: &str,
@@ -181,13 +182,13 @@
     call(addr, request.body(body).expect("a request")).await
 }
 
-/// A GET, answered whole.
+/// Sends a GET request and reads the whole response.
 pub async fn get(addr: SocketAddr, path: &str) -> Result<Response<Bytes>, LinkError> {
     let request = Request::builder().uri(path).header("host", "x");
     call(addr, request.body(Bytes::new()).expect("a request")).await
 }
 
-/// The body as text.
+/// The body of a response as text.
 pub fn text(response: &Response<Bytes>) -> String {
     String::from_utf8_lossy(response.body()).into_owned()
 }
@@ -197,10 +198,10 @@
     Key::fresh().to_string()
 }
 
-/// Starts a host with these settings and free ports.
-pub fn host(settings: &str) -> HostProcess {
-    let any = "127.0.0.1:0";
-    let yaml = format!("{settings}\nlisten: {any}\nadmin: {any}\npeer: {any}\n");
+/// Starts a host with these settings on free ports, and waits until it has started.
+pub fn start_host(settings: &str) -> HostProcess {
+    let free_port = "127.0.0.1:0";
+    let yaml = format!("{settings}\nlisten: {free_port}\nadmin: {free_port}\npeer: {free_port}\n");
     let path = std::env::temp_dir().join(format!("siskinwheel-{}.yaml", Key::fresh()));
     std::fs::write(&path, yaml).expect("the settings can be written");
     let mut child = Command::new(env!("CARGO_BIN_EXE_siskinwheeld"))
@@ -208,7 +209,7 @@
         .stderr(Stdio::piped())
         .spawn()
         .expect("the host starts");
-    let lines = lines(child.stderr.take().expect("stderr is piped"));
+    let lines = read_lines(child.stderr.take().expect("stderr is piped"));
     let started = wait_line(&lines, |line| line.contains("\"event\":100"));
     let log: serde_json::Value = serde_json::from_str(&started).expect("a line of JSON");
     let addr = |field: &str| {
@@ -221,19 +222,19 @@
 
 async fn call(addr: SocketAddr, request: Request<Bytes>) -> Result<Response<Bytes>, LinkError> {
     let pool = Pool::new(addr, PoolConfig::default());
-    link::call(&pool, request, Ms::secs(30), ANSWER_BYTES).await
+    link::call(&pool, request, Ms::secs(30), MAX_ANSWER_BYTES).await
 }
 
-async fn until_ready(admin: SocketAddr) {
+async fn wait_until_ready(admin: SocketAddr) {
     let ready = async {
         while !get(admin, "/readyz").await.is_ok_and(|r| r.status().is_success()) {
             tokio::time::sleep(Ms(20).duration()).await;
         }
     };
-    tokio::time::timeout(START_MS.duration(), ready).await.expect("the host becomes ready");
+    tokio::time::timeout(START_TIMEOUT.duration(), ready).await.expect("the host becomes ready");
 }
 
-fn targets(fleet: &mut Fleet) -> BTreeMap<String, Process> {
+fn start_targets(fleet: &mut Fleet) -> BTreeMap<String, Process> {
     let mut started = BTreeMap::new();
     for pool in &mut fleet.pools {
         for target in &mut pool.targets {
@@ -245,7 +246,7 @@
             if pool.kind == PoolKind::Engine {
                 args.extend(["--engine", "--models", &models]);
             }
-            let process = fake(&args);
+            let process = start_fake(&args);
             target.address = process.addr.to_string();
             started.insert(target.name.to_string(), process);
         }
@@ -253,21 +254,22 @@
     started
 }
 
-/// Starts a stand-in. `cargo test --workspace` builds its program beside the host's.
-fn fake(args: &[&str]) -> Process {
+/// Starts a fake. `cargo test --workspace` builds its program into the same directory as the
+/// host's.
+fn start_fake(args: &[&str]) -> Process {
     let dir = PathBuf::from(env!("CARGO_BIN_EXE_siskinwheeld"));
     let program = dir.with_file_name("siskinwheel-fakes");
     assert!(program.exists(), "run `cargo build -p siskinwheel-fakes` or test the workspace");
     let mut child =
         Command::new(program).args(args).stdout(Stdio::piped()).spawn().expect("it starts");
-    let lines = lines(child.stdout.take().expect("stdout is piped"));
+    let lines = read_lines(child.stdout.take().expect("stdout is piped"));
     let line = wait_line(&lines, |line| line.starts_with("listening "));
     let addr = line.trim_start_matches("listening ").parse().expect("an address");
     Process { child, addr }
 }
 
-/// Reads a process's lines on a thread, so that its pipe never fills up.
-fn lines(from: impl Read + Send + 'static) -> mpsc::Receiver<String> {
+/// Reads the output lines of a process on a thread, so that its pipe never fills up.
+fn read_lines(from: impl Read + Send + 'static) -> mpsc::Receiver<String> {
     let (tx, rx) = mpsc::channel();
     std::thread::spawn(move || {
         for line in BufReader::new(from).lines().map_while(Result::ok) {
@@ -280,7 +282,8 @@
 
 fn wait_line(lines: &mpsc::Receiver<String>, wanted: impl Fn(&str) -> bool) -> String {
     loop {
-        let line = lines.recv_timeout(START_MS.duration()).expect("the process says it is ready");
+        let line =
+            lines.recv_timeout(START_TIMEOUT.duration()).expect("the process says it is ready");
         if wanted(&line) {
             return line;
         }
--- a/bins/siskinwheeld/tests/system/main.rs
+++ b/bins/siskinwheeld/tests/system/main.rs
@@ -1,4 +1,4 @@
-//! Tests over real processes: entry hosts, the platform's stand-in and the targets' stand-ins.
+//! System tests with real processes: entry hosts, a fake platform and fake targets.
 
 mod env;
 mod failures;
@@ -6,5 +6,5 @@
 mod once;
 mod path;
 
-/// The co-operative's example, with free ports filled in by the environment.
+/// The configuration of the co-operative's example. The test environment fills in free ports.
 const COOPERATIVE: &str = include_str!("../../../../examples/cooperative.yaml");
--- a/bins/siskinwheeld/tests/system/once.rs
+++ b/bins/siskinwheeld/tests/system/once.rs
@@ -1,4 +1,4 @@
-//! Work that may not be repeated, over real processes.
+//! Non-repeatable work, across real processes.
 
 use crate::COOPERATIVE;
 use crate::env::{Env, key, text};
@@ -15,17 +15,17 @@
 
 #[tokio::test]
 async fn a_key_sent_to_every_host_runs_once() {
-    // The caller sends the same sign-off to all hosts, one after the other. The first runs it;
-    // the others find its record and give the kept answer, so the caller reads the same answer
-    // each time and the register has one sign-off. The outcome is recorded beside the first
-    // answer, so a re-send right after it may be told `running` before it gets the answer.
+    // The caller sends the same sign-off to all hosts, one after the other. The first host runs it;
+    // the others find its record and return the recorded answer, so the caller gets the same answer
+    // each time and the register has one sign-off. The outcome is recorded concurrently with the
+    // first response, so a re-send right after it may be told `running` before it gets the answer.
     let env = Env::start(COOPERATIVE).await;
     let key = key();
     let headers = [("idempotency-key", key.as_str())];
     let mut answers = Vec::new();
-    for turn in 0..env.hosts.len() {
+    for host_index in 0..env.hosts.len() {
         let response = loop {
-            let response = env.ask(turn, "job-sign-off", "cabinet 7", &headers).await;
+            let response = env.ask(host_index, "job-sign-off", "cabinet 7", &headers).await;
             let response = response.expect("an answer");
             if response.status() != StatusCode::CONFLICT {
                 break response;
@@ -35,7 +35,7 @@
         };
         assert_eq!(response.status(), StatusCode::OK, "{}", text(&response));
         let answer: Answer = serde_json::from_slice(response.body()).expect("an answer");
-        assert_eq!(answer.replayed, turn > 0);
+        assert_eq!(answer.replayed, host_index > 0);
         answers.push(answer.output);
     }
     answers.dedup();
@@ -46,9 +46,10 @@
 #[tokio::test]
 async fn without_the_platform_a_sign_off_is_refused_as_not_run() {
     // The platform is down, so the key can't be recorded. The caller is told at once that its
-    // sign-off didn't run and when to come back; no target sees it. Ordinary work goes on.
+    // sign-off did not run and when to retry, and no target receives it. Work without a key is
+    // still served.
     let env = Env::start(COOPERATIVE).await;
-    env.faults(env.platform.addr, r#"{"down": true}"#).await;
+    env.set_faults(env.platform.addr, r#"{"down": true}"#).await;
     let key = key();
     let headers = [("idempotency-key", key.as_str())];
     let response = env.ask(0, "job-sign-off", "cabinet 8", &headers).await.expect("an answer");
--- a/bins/siskinwheeld/tests/system/path.rs
+++ b/bins/siskinwheeld/tests/system/path.rs
@@ -1,4 +1,4 @@
-//! The whole path across real processes.
+//! Requests through the whole system, across real processes.
 
 use crate::COOPERATIVE;
 use crate::env::{Env, get, key, text};
@@ -9,13 +9,15 @@
 #[tokio::test]
 async fn each_pipeline_is_answered_whole_by_each_host() {
     let env = Env::start(COOPERATIVE).await;
-    for turn in 0..env.hosts.len() {
+    for host_index in 0..env.hosts.len() {
         for pipeline in &env.fleet.pipelines {
             let key = key();
             let headers = [("idempotency-key", key.as_str())];
             let input = "grey cabinet";
-            let response =
-                env.ask(turn, pipeline.name.as_str(), input, &headers).await.expect("an answer");
+            let response = env
+                .ask(host_index, pipeline.name.as_str(), input, &headers)
+                .await
+                .expect("an answer");
             assert_eq!(response.status(), StatusCode::OK, "{}", text(&response));
             let answer: Answer = serde_json::from_slice(response.body()).expect("an answer");
             let mut output = String::new();
@@ -35,10 +37,10 @@
 }
 
 #[tokio::test]
-async fn sigterm_finishes_what_is_open() {
-    // The caller waits for a long answer when its host is told to stop. It still gets the whole
-    // answer, because the host leaves its listener open until nothing is under way, and only
-    // then exits, with code 0.
+async fn sigterm_finishes_requests_under_way() {
+    // A caller waits for a long answer when its host gets SIGTERM. The caller still gets the whole
+    // answer, because the host keeps its listener open until no request is under way. Only then
+    // does the host exit, with code 0.
     let mut env = Env::start_with(COOPERATIVE, 1, "").await;
     let ask = env.ask(0, "inspector-answer", "which grey?", &[]);
     let stop = async {
--- a/crates/entry/src/attempt.rs
+++ b/crates/entry/src/attempt.rs
@@ -120,8 +120,9 @@
 /// Asks the target on a new connection what became of the call.
 ///
 /// The original connection stays open meanwhile: it may only be slow, and closing it would cancel
-/// the call. If the connection has lost output that the target sent, the attempt fails with
-/// `fault`, which blames the connection and not the target.
+/// the call. If the target has sent output that did not arrive, the connection is at fault and not
+/// the target; the attempt then fails with `fault`. It fails with [`Fault::Dead`] if the target
+/// does not answer.
 async fn probe(core: &Core, job: &Job, fault: Fault) -> Result<CallProgress, Fault> {
     match core.connector().probe(job.addr, &job.call, job.limits).await {
         ProbeResult::Running { tokens } if !core.stream_behind(job, tokens) => {
--- a/crates/entry/src/connector.rs
+++ b/crates/entry/src/connector.rs
@@ -64,7 +64,8 @@
     },
     /// The call has finished, with this result.
     Done(Box<StageReply>),
-    /// The target answers without a result for the call: the connection lost the call or its reply.
+    /// The target does not know of the call or does not keep its result: the connection lost the
+    /// call or its reply.
     Lost,
     /// The target does not answer on a new connection either.
     Unreachable,
--- a/crates/entry/src/core.rs
+++ b/crates/entry/src/core.rs
@@ -244,7 +244,7 @@
         let now = self.now();
         let mut state = self.lock();
         let active = state.active.get_mut(&request);
-        if active.is_some_and(|o| o.outbox.detach(epoch, now)) {
+        if active.is_some_and(|r| r.outbox.detach(epoch, now)) {
             self.reduce(&mut state, Event::Gone { request });
         }
     }
@@ -260,8 +260,8 @@
         let core = self.weak_self.upgrade().expect("the core is alive while it is called");
         let mut state = self.lock();
         let State { active, ended, .. } = &mut *state;
-        let active = active.get_mut(&request).map(|o| (&o.workspace, &mut o.outbox));
-        let ended = ended.get_mut(&request).map(|k| (&k.workspace, &mut k.outbox));
+        let active = active.get_mut(&request).map(|r| (&r.workspace, &mut r.outbox));
+        let ended = ended.get_mut(&request).map(|e| (&e.workspace, &mut e.outbox));
         let found = active.or(ended).filter(|(owner, _)| owner.as_str() == workspace);
         let (_, outbox) = found.ok_or(CallerError::UnknownRequest)?;
         let (caller, replies) = mpsc::unbounded_channel();
@@ -276,7 +276,7 @@
         let max_detached = self.settings.limits.resume_ms;
         let mut state = self.lock();
         state.ended.retain(|_, ended| now < ended.until);
-        let abandoned = state.active.iter().filter(|(_, o)| o.outbox.abandoned(now, max_detached));
+        let abandoned = state.active.iter().filter(|(_, r)| r.outbox.abandoned(now, max_detached));
         let abandoned: Vec<RequestId> = abandoned.map(|(&request, _)| request).collect();
         for request in abandoned {
             self.reduce(&mut state, Event::Gone { request });
--- a/crates/entry/src/effects.rs
+++ b/crates/entry/src/effects.rs
@@ -20,7 +20,7 @@
 const FINISH_RETRY_MIN: Ms = Ms(100);
 /// Longest delay between these retries.
 const FINISH_RETRY_MAX: Ms = Ms::secs(5);
-/// Most ended requests whose replies are held for callers that may reconnect.
+/// Largest number of ended requests whose replies are held for callers that may reconnect.
 const MAX_ENDED: usize = 1024;
 
 impl Core {
@@ -28,12 +28,12 @@
         match effect {
             Effect::Register { request } => self.register(state, request),
             Effect::Send { request, stage, attempt, target, offset, budget } => {
-                debug_assert!(state.active.get(&request).is_none_or(|o| o.stage == stage));
+                debug_assert!(state.active.get(&request).is_none_or(|r| r.stage == stage));
                 self.send(state, request, attempt, &target, offset, budget);
             }
             Effect::Cancel { request, attempt, .. } => {
                 let active = state.active.get_mut(&request);
-                if let Some(running) = active.and_then(|o| o.attempts.remove(&attempt)) {
+                if let Some(running) = active.and_then(|r| r.attempts.remove(&attempt)) {
                     running.task.abort();
                 }
             }
@@ -103,7 +103,7 @@
 
     fn register(&self, state: &mut State, request: RequestId) {
         let Some(core) = self.weak_self.upgrade() else { return };
-        let Some(claim) = state.active.get(&request).and_then(|o| claim(request, o)) else {
+        let Some(claim) = state.active.get(&request).and_then(|r| claim(request, r)) else {
             return;
         };
         self.journal_pending.fetch_add(1, Ordering::Relaxed);
@@ -147,10 +147,9 @@
         });
     }
 
-    /// Records the outcome of a request with a key, retrying until the journal's window for the key
-    /// has passed. Until the record is written, callers that send the key again are told `running`
-    /// or `unknown` although this host has the answer; so it keeps trying however long the platform
-    /// is unavailable.
+    /// Records the outcome of a request with a key. Until that is done, callers that send the key
+    /// again are told `running` or `unknown` although this host has the answer. Therefore an
+    /// unavailable platform is retried for as long as the journal's window, `journal.window_ms`.
     async fn record_outcome(&self, claim: &Claim, outcome: Outcome) {
         let mut wait = FINISH_RETRY_MIN;
         let give_up_at = self.now() + self.settings.journal.window_ms;
--- a/crates/entry/src/gossip_events.rs
+++ b/crates/entry/src/gossip_events.rs
@@ -8,7 +8,7 @@
 
 use crate::core::Core;
 
-/// Forwards each piece of news to the core until the channel is closed.
+/// Forwards every update to the core until the channel is closed.
 pub(crate) async fn forward(core: Arc<Core>, mut news: mpsc::UnboundedReceiver<News>) {
     while let Some(news) = news.recv().await {
         core.handle_event(event_of(news));
--- a/crates/entry/tests/host/small.rs
+++ b/crates/entry/tests/host/fixture.rs
@@ -1,4 +1,5 @@
-//! A small fleet: one domain, one host, two engines, two encoders, two registers.
+//! Test fixture: a small fleet with one domain, one host, two engines, two encoders and two
+//! registers.
 
 use bytes::Bytes;
 use conf::Fleet;
@@ -9,20 +10,20 @@
 
 const FLEET: &str = include_str!("../small.yaml");
 
-/// Starts it, with more lines of the host's settings.
+/// Starts the fleet, with extra lines for the host's settings.
 pub async fn start(settings: &str) -> Cluster {
     let options = Options { hosts: 1, settings: settings.to_owned(), ..Options::default() };
     let fleet = Fleet::parse(FLEET).expect("the fleet parses");
     Cluster::start(fleet, options).await.expect("the fleet starts")
 }
 
-/// A request of the painters.
-pub fn asking<'a>(pipeline: &'a str, headers: &'a [(&'a str, &'a str)]) -> Asking<'a> {
+/// A request of the workspace `painters`.
+pub fn painters_request<'a>(pipeline: &'a str, headers: &'a [(&'a str, &'a str)]) -> Asking<'a> {
     Asking { pipeline, workspace: "painters", input: "grey cabinet", headers }
 }
 
 /// Sets the faults of one target.
-pub fn faults(cluster: &Cluster, target: &str, faults: TargetFaults) {
+pub fn set_faults(cluster: &Cluster, target: &str, faults: TargetFaults) {
     cluster.targets[target].set_faults(faults);
 }
 
@@ -32,8 +33,8 @@
     serde_json::from_slice(response.body()).unwrap_or_else(|err| panic!("{err}: {text}"))
 }
 
-/// What the pipeline `write` answers.
-pub fn written() -> String {
+/// The expected output of the pipeline `write`.
+pub fn expected_text() -> String {
     let encoded = fakes::expected_output("encode", "grey cabinet");
     fakes::generated(&format!("grey cabinet\n{encoded}"), 40)
 }
--- a/crates/entry/tests/host/main.rs
+++ b/crates/entry/tests/host/main.rs
@@ -1,9 +1,10 @@
-//! An entry host between real sockets: callers on one side, stand-ins on the other.
+//! Tests of an entry host over real sockets, with callers on one side and fake targets and a fake
+//! platform on the other.
 
 mod caller;
 mod cancel;
 mod correlate;
+mod fixture;
 mod once;
 mod silence;
-mod small;
 mod streams;
