--- a/bins/siskinwheel-bench/src/ablation.rs
+++ b/bins/siskinwheel-bench/src/ablation.rs
@@ -13,7 +13,7 @@
 
 const WORTHS: [Worth; 4] = [
     ("attained", |o| o.attainment * 100.0),
-    ("small ws", |o| o.small_spaces() * 100.0),
+    ("small ws", |o| o.small_workspaces() * 100.0),
     ("goodput", |o| o.goodput * 100.0),
     ("cost", |o| -o.unit_cost() * 1000.0),
 ];
--- a/bins/siskinwheel-bench/src/cold.rs
+++ b/bins/siskinwheel-bench/src/cold.rs
@@ -1,7 +1,7 @@
 //! `siskinwheel-bench cold`: how hosts keep together to what a cold target stands, by design.
 
 use anyhow::Result;
-use model::cold::{Cut, Design, Figures, Play, play};
+use model::cold::{Design, Figures, Partition, Scenario, simulate};
 use pico_args::Arguments;
 
 use crate::finish;
@@ -23,15 +23,15 @@
 const SKEW: u64 = 2_400;
 
 const DESIGNS: [(Design, &str); 5] = [
-    (Design::Free, "free"),
+    (Design::Unlimited, "free"),
     (Design::EqualParts, "equal parts"),
     (Design::Turns, "turns by clock"),
     (Design::Permits, "permits"),
     (Design::Shares, "shares in the domain"),
 ];
 
-const CUTS: [(Cut, &str); 3] =
-    [(Cut::None, "none"), (Cut::Halves, "halves"), (Cut::Alone, "each alone")];
+const CUTS: [(Partition, &str); 3] =
+    [(Partition::None, "none"), (Partition::Halves, "halves"), (Partition::Isolated, "each alone")];
 
 const COLUMNS: [&str; 7] =
     ["design", "hosts", "cut", "worst second", "served/s", "calls a request", "wait ms"];
@@ -44,10 +44,10 @@
     let mut rows = Vec::new();
     for (design, name) in DESIGNS {
         for hosts in [6, 79, 300, 1_000] {
-            for (cut, cut_name) in CUTS {
-                let world = Play { hosts, rate, limit: LIMIT, cut, skew: SKEW };
+            for (partition, cut_name) in CUTS {
+                let world = Scenario { hosts, rate, limit: LIMIT, partition, skew: SKEW };
                 let played: Vec<Figures> =
-                    (1..=seeds).map(|seed| play(design, world, seed)).collect();
+                    (1..=seeds).map(|seed| simulate(design, world, seed)).collect();
                 rows.push(row(name, hosts, cut_name, &played));
             }
         }
--- a/bins/siskinwheel-bench/src/policy.rs
+++ b/bins/siskinwheel-bench/src/policy.rs
@@ -88,7 +88,7 @@
     bar.set_style(ProgressStyle::with_template("{bar:40} {pos}/{len} {eta} {msg}")?);
     let mut tables = Vec::new();
     for deployment in deployments {
-        let model = deployment.timed(times.clone()).context("reading the example")?;
+        let model = deployment.with_times(times.clone()).context("reading the example")?;
         let name = deployment.as_str();
         let mut played = Vec::new();
         for &pattern in &patterns {
@@ -116,7 +116,7 @@
 
 const FIGURES: [Figure; 6] = [
     ("attained %", 2, |o| o.attainment * 100.0),
-    ("small ws %", 1, |o| o.small_spaces() * 100.0),
+    ("small ws %", 1, |o| o.small_workspaces() * 100.0),
     ("p99 ms", 0, |o| o.latency.p99 as f64),
     ("goodput %", 1, |o| o.goodput * 100.0),
     ("cost/1000 in time", 0, |o| o.unit_cost() * 1000.0),
@@ -198,7 +198,7 @@
     vec![
         policy.name(),
         spread(2, &|o| o.attainment * 100.0),
-        spread(1, &|o| o.small_spaces() * 100.0),
+        spread(1, &|o| o.small_workspaces() * 100.0),
         spread(1, &|o| o.goodput * 100.0),
         spread(0, &|o| o.latency.p50 as f64),
         spread(0, &|o| o.latency.p99 as f64),
--- a/bins/siskinwheel-bench/src/stages.rs
+++ b/bins/siskinwheel-bench/src/stages.rs
@@ -1,7 +1,7 @@
 //! `siskinwheel-bench stages`: who fills the calls of stage targets, by design, in virtual time.
 
 use anyhow::Result;
-use model::stages::{DAY, Design, Fault, KINDS, Load, Served, play};
+use model::stages::{Design, Fault, KINDS, Load, RUN_LENGTH, RunStats, simulate};
 use pico_args::Arguments;
 
 use crate::finish;
@@ -20,10 +20,10 @@
 
 const DESIGNS: [(Design, &str); 6] = [
     (Design::Single, "single calls"),
-    (Design::Alone, "hosts alone"),
+    (Design::PerHost, "hosts alone"),
     (Design::Window, "alone, window"),
     (Design::Lease, "leased turns"),
-    (Design::Own, "own targets"),
+    (Design::PerTarget, "own targets"),
     (Design::Composer, "composer"),
 ];
 
@@ -73,7 +73,7 @@
         let worths = add_rows(&mut rows, load, fault, seeds);
         lines.push((load.hosts, load.factor, worths));
     }
-    let title = format!("Stages in batches, days of {} s, seeds 1 to {seeds}", DAY.0 / 1000);
+    let title = format!("Stages in batches, days of {} s, seeds 1 to {seeds}", RUN_LENGTH.0 / 1000);
     output.tables(&[Table { title, columns: COLUMNS.map(str::to_owned).to_vec(), rows }])?;
     plot(output, &lines)
 }
@@ -88,15 +88,15 @@
 
 /// One row for each design. Gives the worth in time a second of each.
 fn add_rows(rows: &mut Vec<Vec<String>>, load: Load, fault: &str, seeds: u64) -> Vec<f64> {
-    let days: Vec<Vec<Served>> = DESIGNS
+    let days: Vec<Vec<RunStats>> = DESIGNS
         .iter()
-        .map(|(design, _)| (1..=seeds).map(|seed| play(*design, load, seed)).collect())
+        .map(|(design, _)| (1..=seeds).map(|seed| simulate(*design, load, seed)).collect())
         .collect();
-    let share = |days: &[Served]| spread(days, |d| d.in_time() * 100.0);
+    let share = |days: &[RunStats]| spread(days, |d| d.in_time() * 100.0);
     let alone = share(&days[1]).median;
     let mut worths = Vec::new();
     for ((_, name), days) in DESIGNS.iter().zip(&days) {
-        let worth = spread(days, |d| d.worth.1 * 1000.0 / DAY.0 as f64);
+        let worth = spread(days, |d| d.value.1 * 1000.0 / RUN_LENGTH.0 as f64);
         let fill = spread(days, |d| d.calls.1 as f64 / d.calls.0.max(1) as f64);
         rows.push(vec![
             (*name).to_owned(),
@@ -114,13 +114,13 @@
     worths
 }
 
-fn spread(days: &[Served], of: impl Fn(&Served) -> f64) -> Spread {
+fn spread(days: &[RunStats], of: impl Fn(&RunStats) -> f64) -> Spread {
     Spread::of(&days.iter().map(of).collect::<Vec<_>>())
 }
 
-fn by_kind(days: &[Served]) -> String {
+fn by_kind(days: &[RunStats]) -> String {
     let share = |i: usize| {
-        let one = |d: &Served| d.kinds[i].1 as f64 * 100.0 / d.kinds[i].0.max(1) as f64;
+        let one = |d: &RunStats| d.kinds[i].1 as f64 * 100.0 / d.kinds[i].0.max(1) as f64;
         format!("{} {:.0}", KINDS[i].name, spread(days, one).median)
     };
     (0..KINDS.len()).map(share).collect::<Vec<_>>().join(", ")
--- a/crates/model/src/cold.rs
+++ b/crates/model/src/cold.rs
@@ -26,7 +26,7 @@
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 pub enum Design {
     /// Not at all.
-    Free,
+    Unlimited,
     /// Each host of the fleet sends its equal part of the limit.
     EqualParts,
     /// Time is cut into turns by the hosts' clocks; in each the next host of the domain sends.
@@ -40,18 +40,18 @@
 
 /// Which hosts know of each other.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
-pub enum Cut {
+pub enum Partition {
     /// All.
     None,
     /// Two halves that have just started on their own side.
     Halves,
     /// Each host only itself, having known the others before.
-    Alone,
+    Isolated,
 }
 
 /// One play.
 #[derive(Clone, Copy, Debug)]
-pub struct Play {
+pub struct Scenario {
     /// Hosts of the fleet.
     pub hosts: usize,
     /// Requests a second and target that would go to the cold domain.
@@ -59,7 +59,7 @@
     /// Requests a second that a cold target stands.
     pub limit: f64,
     /// Who knows whom.
-    pub cut: Cut,
+    pub partition: Partition,
     /// Largest difference between two hosts' clocks, ms; only [`Design::Turns`] reads them.
     pub skew: u64,
 }
@@ -86,7 +86,7 @@
 }
 
 struct World {
-    play: Play,
+    scenario: Scenario,
     design: Design,
     hosts: Vec<Host>,
     /// Times of permits by target and the host that gives them.
@@ -98,12 +98,12 @@
 }
 
 /// Plays one seed.
-pub fn play(design: Design, play: Play, seed: u64) -> Figures {
+pub fn simulate(design: Design, scenario: Scenario, seed: u64) -> Figures {
     let mut rng = ChaCha8Rng::seed_from_u64(seed);
-    let group = |i: usize| match play.cut {
-        Cut::None => 0,
-        Cut::Halves => i % 2,
-        Cut::Alone => i,
+    let group = |i: usize| match scenario.partition {
+        Partition::None => 0,
+        Partition::Halves => i % 2,
+        Partition::Isolated => i,
     };
     let host = |i: usize| Host {
         id: HostId::from(format!("edge-{i}")),
@@ -112,10 +112,10 @@
         skew: 0,
         warmth: HashMap::new(),
     };
-    let mut hosts: Vec<Host> = (0..play.hosts).map(host).collect();
-    hosts.iter_mut().for_each(|h| h.skew = rng.random_range(0..=play.skew));
+    let mut hosts: Vec<Host> = (0..scenario.hosts).map(host).collect();
+    hosts.iter_mut().for_each(|h| h.skew = rng.random_range(0..=scenario.skew));
     let mut world = World {
-        play,
+        scenario,
         design,
         hosts,
         given: BTreeMap::new(),
@@ -124,10 +124,10 @@
         waited: 0,
         asked: 0,
     };
-    let every = 1_000.0 / (play.rate * TARGETS as f64);
+    let every = 1_000.0 / (scenario.rate * TARGETS as f64);
     let mut at = 0.0;
     while at < COLD.0 as f64 {
-        let who = rng.random_range(0..play.hosts);
+        let who = rng.random_range(0..scenario.hosts);
         let target = rng.random_range(0..TARGETS);
         world.request(Ms(at as u64), who, target);
         at += -every * (1.0 - rng.random::<f64>()).ln();
@@ -139,7 +139,7 @@
     fn request(&mut self, now: Ms, who: usize, target: usize) {
         self.asked += 1;
         let sent = match self.design {
-            Design::Free => Some(now),
+            Design::Unlimited => Some(now),
             Design::EqualParts => self.equal_part(now, who, target),
             Design::Turns => self.turn(now, who, target).then_some(now),
             Design::Permits => self.permit(now, who, target),
@@ -158,12 +158,14 @@
     fn known(&self, who: usize) -> Vec<usize> {
         let mine = self.hosts[who].group;
         // One that knew the others goes on counting them.
-        let seen = |i: &usize| self.play.cut != Cut::Halves || self.hosts[*i].group == mine;
+        let seen = |i: &usize| {
+            self.scenario.partition != Partition::Halves || self.hosts[*i].group == mine
+        };
         (0..self.hosts.len()).filter(|i| self.hosts[*i].domain == 0 && seen(i)).collect()
     }
 
     fn equal_part(&mut self, now: Ms, who: usize, target: usize) -> Option<Ms> {
-        let part = self.play.limit / self.hosts.len() as f64;
+        let part = self.scenario.limit / self.hosts.len() as f64;
         // Less than one a second means one in some seconds.
         let span = Ms((1_000.0 / part.max(f64::MIN_POSITIVE)) as u64).max(SECOND);
         let warmth = self.hosts[who].warmth.entry(target).or_default();
@@ -174,7 +176,7 @@
 
     fn turn(&mut self, now: Ms, who: usize, target: usize) -> bool {
         let known = self.known(who);
-        let length = Ms((1_000.0 / self.play.limit) as u64).max(Ms(1));
+        let length = Ms((1_000.0 / self.scenario.limit) as u64).max(Ms(1));
         let skew = self.hosts[who].skew;
         let clock = now.0 + skew;
         let holder = known[(clock / length.0) as usize % known.len().max(1)];
@@ -205,7 +207,7 @@
         let given = self.given.entry((target, giver)).or_default();
         given.cold_until(now + COLD);
         // Two givers at once stay within the limit together.
-        let open = given.admits(now, (self.play.limit / 2.0) as u32);
+        let open = given.admits(now, (self.scenario.limit / 2.0) as u32);
         open.then(|| given.sent(now));
         open.then(|| now + Ms(way))
     }
@@ -217,7 +219,7 @@
         let known = self.known(who);
         let ids = known.iter().map(|i| &self.hosts[*i].id);
         let name = format!("target-{target}-{}", hash_parts(&[&target.to_le_bytes()]));
-        let share = share(self.play.limit, &name, &self.hosts[who].id, ids);
+        let share = share(self.scenario.limit, &name, &self.hosts[who].id, ids);
         let warmth = self.hosts[who].warmth.entry(target).or_default();
         warmth.cold_until(Ms::MAX);
         let open = warmth.admits(now, share);
--- a/crates/model/src/deploy.rs
+++ b/crates/model/src/deploy.rs
@@ -35,11 +35,11 @@
 
     /// Its configuration, as the model serves it.
     pub fn model(self) -> Result<Model, ParseError> {
-        self.timed(Times::default())
+        self.with_times(Times::default())
     }
 
     /// The same with other times.
-    pub fn timed(self, times: Times) -> Result<Model, ParseError> {
+    pub fn with_times(self, times: Times) -> Result<Model, ParseError> {
         let yaml = match self {
             Self::Cooperative => COOPERATIVE,
             Self::Publisher => PUBLISHER,
--- a/crates/model/src/outcome.rs
+++ b/crates/model/src/outcome.rs
@@ -105,7 +105,7 @@
     }
 
     /// Lowest attainment of the workspaces but the first, which is the hot one where one is.
-    pub fn small_spaces(&self) -> f64 {
+    pub fn small_workspaces(&self) -> f64 {
         self.spaces.iter().skip(1).map(|s| s.attainment).fold(1.0, f64::min)
     }
 }
--- a/crates/model/src/stages/design.rs
+++ b/crates/model/src/stages/design.rs
@@ -6,13 +6,13 @@
     /// Each stage of each request is a call of its own.
     Single,
     /// Each host fills calls with its own pieces.
-    Alone,
+    PerHost,
     /// The same, and each host gathers pieces for a while first.
     Window,
     /// A target's calls come from one host at a time; the lease moves on after each.
     Lease,
     /// Each target has a host of its own, that gets a stage from two targets' by its queue.
-    Own,
+    PerTarget,
     /// One host for all calls of a service.
     Composer,
 }
@@ -45,16 +45,16 @@
 
 /// What a day came to.
 #[derive(Clone, Debug, Default)]
-pub struct Served {
+pub struct RunStats {
     /// Requests and those in time, by kind.
     pub kinds: [(u64, u64); 3],
     /// Worth of all requests, and of those in time.
-    pub worth: (f64, f64),
+    pub value: (f64, f64),
     /// Calls, and pieces in them.
     pub calls: (u64, u64),
 }
 
-impl Served {
+impl RunStats {
     /// Share of requests that were in time.
     pub fn in_time(&self) -> f64 {
         let sum = self.kinds.iter().fold((0, 0), |a, k| (a.0 + k.0, a.1 + k.1));
--- a/crates/model/src/stages/faults.rs
+++ b/crates/model/src/stages/faults.rs
@@ -31,10 +31,10 @@
     pub(super) fn lose_host(&mut self) {
         let gone: Vec<usize> = match self.design {
             Design::Single => return,
-            Design::Alone | Design::Window | Design::Lease => {
+            Design::PerHost | Design::Window | Design::Lease => {
                 (0..3).map(|s| s * self.load.hosts).collect()
             }
-            Design::Own => (0..3).map(|s| s * TARGETS).collect(),
+            Design::PerTarget => (0..3).map(|s| s * TARGETS).collect(),
             Design::Composer => (0..3).map(|s| s * 2).collect(),
         };
         let of = |unit: &usize| gone.contains(unit);
--- a/crates/model/src/stages/mod.rs
+++ b/crates/model/src/stages/mod.rs
@@ -15,6 +15,6 @@
 mod requests;
 mod targets;
 
-pub use design::{Design, Fault, Load, Served};
+pub use design::{Design, Fault, Load, RunStats};
 pub use path::KINDS;
-pub use play::{DAY, play};
+pub use play::{RUN_LENGTH, simulate};
--- a/crates/model/src/stages/path.rs
+++ b/crates/model/src/stages/path.rs
@@ -37,7 +37,7 @@
     pub(super) aim: Ms,
     pub(super) rank: u8,
     /// Worth of one that is served in time.
-    pub(super) worth: f64,
+    pub(super) value: f64,
     pub(super) stages: &'static [Stage],
 }
 
@@ -56,7 +56,7 @@
         share: 0.31,
         aim: Ms(1_700),
         rank: 1,
-        worth: 3.9,
+        value: 3.9,
         stages: &[Stage {
             service: SEARCH,
             after: None,
@@ -70,7 +70,7 @@
         share: 0.29,
         aim: Ms(2_200),
         rank: 0,
-        worth: 1.7,
+        value: 1.7,
         stages: &[
             stage(SEARCH, None, 1, 8_000),
             stage(FETCH, Some(0), 4, 60_000),
@@ -82,7 +82,7 @@
         share: 0.40,
         aim: Ms(2_300),
         rank: 2,
-        worth: 0.43,
+        value: 0.43,
         stages: &[
             Stage { service: SEARCH, after: None, share: 0.4, pieces: (1, 2), bytes: 800_000 },
             stage(SEARCH, None, 1, 8_000),
--- a/crates/model/src/stages/play.rs
+++ b/crates/model/src/stages/play.rs
@@ -9,13 +9,13 @@
 use std::cmp::Reverse;
 use std::collections::{BinaryHeap, HashMap, HashSet};
 
-use super::design::{Design, Fault, Load, Served};
+use super::design::{Design, Fault, Load, RunStats};
 use super::faults::{FAULT, NOTICE};
 use super::path::{self, KEEP, Kind, RATE, TARGETS};
 use super::targets::{Call, Target, name, number};
 
 /// Length of a day, ms.
-pub const DAY: Ms = Ms(25_000);
+pub const RUN_LENGTH: Ms = Ms(25_000);
 
 #[derive(Clone, Debug, PartialEq, Eq, PartialOrd, Ord)]
 pub(super) enum What {
@@ -72,11 +72,11 @@
     pub(super) faulty: bool,
     /// Composers that follow those that are gone.
     pub(super) followers: HashMap<usize, usize>,
-    pub(super) served: Served,
+    pub(super) served: RunStats,
 }
 
 /// Plays a day. The same arguments give the same day.
-pub fn play(design: Design, load: Load, seed: u64) -> Served {
+pub fn simulate(design: Design, load: Load, seed: u64) -> RunStats {
     let mut world = World::new(design, load, seed);
     world.schedule();
     while let Some(Reverse((at, _, what))) = world.heap.pop() {
@@ -106,7 +106,7 @@
             lease: vec![0; 3 * TARGETS],
             faulty: false,
             followers: HashMap::new(),
-            served: Served::default(),
+            served: RunStats::default(),
         };
         for service in 0..3 {
             world.add_units(service);
@@ -120,7 +120,7 @@
         let all: Vec<usize> = (first..first + TARGETS).collect();
         match self.design {
             Design::Single => {}
-            Design::Alone | Design::Window => {
+            Design::PerHost | Design::Window => {
                 for _ in 0..self.load.hosts {
                     self.add_unit(service, &all);
                 }
@@ -130,7 +130,7 @@
                     self.add_unit(service, &[]);
                 }
             }
-            Design::Own => {
+            Design::PerTarget => {
                 for target in all {
                     self.add_unit(service, &[target]);
                 }
@@ -177,7 +177,7 @@
         let mut at = 0.0;
         loop {
             at += -(1.0 - self.rng.random::<f64>()).ln() * 1_000.0 / (RATE * self.load.factor);
-            if Ms(at as u64) >= DAY {
+            if Ms(at as u64) >= RUN_LENGTH {
                 break;
             }
             let host = self.rng.random_range(0..self.load.hosts);
--- a/crates/model/src/stages/requests.rs
+++ b/crates/model/src/stages/requests.rs
@@ -32,7 +32,7 @@
         };
         let of = KINDS.iter().position(|k| k.name == kind.name).unwrap_or(0);
         self.served.kinds[of].0 += 1;
-        self.served.worth.0 += kind.worth;
+        self.served.value.0 += kind.value;
         self.requests.insert(id, request);
         for stage in 0..count {
             if kind.stages[stage].after.is_none() {
@@ -97,8 +97,8 @@
                 let two = first + self.rng.random_range(0..TARGETS);
                 self.add_unit(service, &[one, two])
             }
-            Design::Alone | Design::Window | Design::Lease => service * self.load.hosts + host,
-            Design::Own => {
+            Design::PerHost | Design::Window | Design::Lease => service * self.load.hosts + host,
+            Design::PerTarget => {
                 let one = first + self.rng.random_range(0..TARGETS);
                 let two = first + self.rng.random_range(0..TARGETS);
                 let queued = |unit: &usize| self.units[*unit].batcher.queued();
@@ -141,7 +141,7 @@
         let of = KINDS.iter().position(|k| k.name == request.kind.name).unwrap_or(0);
         if self.now + ENGINE <= request.since + request.kind.aim {
             self.served.kinds[of].1 += 1;
-            self.served.worth.1 += request.kind.worth;
+            self.served.value.1 += request.kind.value;
         }
         // The engine reads what no other stage reads.
         let kind = request.kind;
--- a/crates/model/tests/callers.rs
+++ b/crates/model/tests/callers.rs
@@ -46,7 +46,7 @@
 #[test]
 fn small_workspaces_are_not_starved() {
     for (name, outcome) in played(Pattern::HotCallers) {
-        let small = outcome.small_spaces();
+        let small = outcome.small_workspaces();
         assert!(small >= 0.95, "{name}: {small}");
     }
 }
@@ -168,7 +168,7 @@
 #[test]
 fn hot_caller_in_a_lost_domain() {
     for (name, outcome) in played(Pattern::HotLost) {
-        assert!(outcome.small_spaces() >= 0.93, "{name}: {:?}", outcome.spaces);
+        assert!(outcome.small_workspaces() >= 0.93, "{name}: {:?}", outcome.spaces);
     }
 }
 
--- a/crates/model/tests/stages.rs
+++ b/crates/model/tests/stages.rs
@@ -1,19 +1,19 @@
 //! What callers get from stages made in batches, by who fills the calls.
 
-use model::stages::{Design, Fault, Load, Served, play};
+use model::stages::{Design, Fault, Load, RunStats, simulate};
 
 const SEEDS: [u64; 3] = [1, 2, 3];
 
-fn days(design: Design, hosts: usize, factor: f64, fault: Fault) -> Vec<Served> {
-    SEEDS.iter().map(|seed| play(design, Load { hosts, factor, fault }, *seed)).collect()
+fn days(design: Design, hosts: usize, factor: f64, fault: Fault) -> Vec<RunStats> {
+    SEEDS.iter().map(|seed| simulate(design, Load { hosts, factor, fault }, *seed)).collect()
 }
 
-fn mean(days: &[Served], of: impl Fn(&Served) -> f64) -> f64 {
+fn mean(days: &[RunStats], of: impl Fn(&RunStats) -> f64) -> f64 {
     days.iter().map(of).sum::<f64>() / days.len() as f64
 }
 
 fn in_time(design: Design, hosts: usize, factor: f64, fault: Fault) -> f64 {
-    mean(&days(design, hosts, factor, fault), Served::in_time)
+    mean(&days(design, hosts, factor, fault), RunStats::in_time)
 }
 
 // Most requests are late while targets could do twice the load. Each host sees a sixth of the
@@ -25,7 +25,7 @@
         let share = in_time(Design::Composer, hosts, 1.0, Fault::None);
         assert!(share >= 0.99, "{hosts} hosts: {share}");
     }
-    let alone = in_time(Design::Alone, 6, 1.0, Fault::None);
+    let alone = in_time(Design::PerHost, 6, 1.0, Fault::None);
     assert!(alone < 0.6, "{alone}");
 }
 
@@ -45,7 +45,7 @@
 fn past_saturation_the_worth_served_in_time_does_not_fall() {
     let worth = |factor| {
         let days = days(Design::Composer, 6, factor, Fault::None);
-        mean(&days, |day| day.worth.1)
+        mean(&days, |day| day.value.1)
     };
     let share = in_time(Design::Composer, 6, 1.7, Fault::None);
     assert!(share >= 0.8, "{share}");
@@ -65,7 +65,7 @@
 #[test]
 fn two_composers_lose_less_than_hosts_alone() {
     let split = in_time(Design::Composer, 6, 1.0, Fault::Split);
-    let alone = in_time(Design::Alone, 6, 1.0, Fault::None);
+    let alone = in_time(Design::PerHost, 6, 1.0, Fault::None);
     assert!(split >= 0.75, "{split}");
     assert!(split > alone, "{split}, {alone}");
 }
