--- a/crates/model/src/cache.rs
+++ b/crates/model/src/cache.rs
@@ -1,21 +1,21 @@
-//! An engine's cache of prompt prefixes: limited, and the least recently used goes first.
+//! An engine's cache of prompt prefixes: bounded, with least-recently-used eviction.
 
 use std::collections::VecDeque;
 
-/// Prefixes held, the least recently used in front.
+/// Cached prefixes, ordered from least to most recently used.
 #[derive(Debug)]
 pub(crate) struct Cache {
     held: VecDeque<u64>,
-    room: usize,
+    capacity: usize,
 }
 
 impl Cache {
-    /// An empty cache for `room` prefixes.
-    pub fn new(room: usize) -> Self {
-        Self { held: VecDeque::new(), room }
+    /// An empty cache that holds up to `capacity` prefixes.
+    pub fn new(capacity: usize) -> Self {
+        Self { held: VecDeque::new(), capacity }
     }
 
-    /// Uses a prefix. True when it was held.
+    /// Marks a prefix as used, adding it if needed. Returns whether it was cached before.
     pub fn touch(&mut self, prefix: u64) -> bool {
         let found = self.held.iter().position(|&p| p == prefix);
         if let Some(i) = found {
@@ -25,12 +25,12 @@
         found.is_some()
     }
 
-    /// What no longer has room, if anything.
+    /// Evicts and returns the least recently used prefix if the cache is over its capacity.
     pub fn evict(&mut self) -> Option<u64> {
-        if self.held.len() > self.room { self.held.pop_front() } else { None }
+        if self.held.len() > self.capacity { self.held.pop_front() } else { None }
     }
 
-    /// Forgets everything, as a restarted engine does.
+    /// Drops all prefixes, as a restart of the engine does.
     pub fn clear(&mut self) {
         self.held.clear();
     }
--- a/crates/model/src/callers.rs
+++ b/crates/model/src/callers.rs
@@ -1,16 +1,16 @@
-//! Callers, the balancer in front of the hosts, and the journal of idempotency keys.
+//! Simulated callers, the load balancer in front of the hosts, and the journal of idempotency keys.
 
 use base::{Ms, RequestId};
 use policy::{Arrival, Code, Ending, Event, Grant, Ran, Verdict};
 
 use crate::Resend;
-use crate::outcome::{Broken, WARM};
-use crate::queue::Happening;
-use crate::world::{Open, START, World, index, request_id};
+use crate::outcome::{BrokenPromise, WARMUP};
+use crate::queue::SimEvent;
+use crate::world::{OpenRequest, START, World, index, request_id};
 
-/// Who holds a caller's idempotency key.
+/// State of an idempotency key in the journal.
 #[derive(Clone, Copy, Debug, Default, PartialEq, Eq)]
-pub(crate) enum Record {
+pub(crate) enum KeyState {
     #[default]
     Free,
     Held,
@@ -19,12 +19,12 @@
 }
 
 impl World<'_> {
-    /// A call, or its re-send, reaches a host.
+    /// Handles the arrival of a call, or of its re-send, at a host.
     pub fn arrive(&mut self, call: usize) {
         self.tries[call] += 1;
         let host = self.pick_host(call);
         let request = request_id(self.requests.len());
-        self.requests.push(Open {
+        self.requests.push(OpenRequest {
             call,
             host,
             arrived: self.now,
@@ -40,13 +40,14 @@
         self.feed(host, Event::Arrive(Arrival { deadline, resent, ..arrival }));
     }
 
-    /// A poison request's caller gives each re-send its whole time.
+    /// Deadline of a call's next send. Each re-send of a poison request gets the full time again.
     fn deadline(&self, call: usize) -> Ms {
         let sent = &self.calls[call];
-        if sent.poison { self.now + (sent.due - sent.at) } else { sent.due }
+        if sent.poison { self.now + (sent.deadline - sent.at) } else { sent.deadline }
     }
 
-    /// The platform's balancer: any host that it thinks is up.
+    /// Picks a host as the platform's load balancer does: by hash, among those it believes to be
+    /// up.
     fn pick_host(&self, call: usize) -> usize {
         let up: Vec<usize> = (0..self.hosts.len()).filter(|&h| self.is_listed(h)).collect();
         let parts = [self.seed, call as u64, u64::from(self.tries[call])].map(u64::to_le_bytes);
@@ -58,25 +59,25 @@
         self.hosts[host].listed && !self.avoided[self.hosts[host].domain]
     }
 
-    /// What the journal says of a request's key.
+    /// Registers a request's key in the journal and returns the journal's reply.
     pub fn register(&mut self, request: RequestId) -> Grant {
         let record = self.keys.entry(self.requests[index(request)].call).or_default();
         match record {
-            Record::Free => {
-                *record = Record::Held;
+            KeyState::Free => {
+                *record = KeyState::Held;
                 Grant::Granted
             }
-            Record::Held => Grant::Running,
-            Record::Done => Grant::Answered,
-            Record::Lost => Grant::Unknown,
+            KeyState::Held => Grant::Running,
+            KeyState::Done => Grant::Answered,
+            KeyState::Lost => Grant::Unknown,
         }
     }
 
-    /// A request's final answer.
+    /// Records the final answer to a request.
     pub fn answer(&mut self, request: RequestId, verdict: Verdict) {
         let open = &mut self.requests[index(request)];
         if std::mem::replace(&mut open.answered, true) {
-            self.tally.broken.push(Broken::SecondAnswer(request));
+            self.tally.broken.push(BrokenPromise::SecondAnswer(request));
             return;
         }
         let (number, host, arrived, done) = (open.call, open.host, open.arrived, open.done);
@@ -85,55 +86,55 @@
         self.pending -= 1;
         match verdict {
             Verdict::Done if done < stages => {
-                self.tally.broken.push(Broken::FalseAnswer(request));
+                self.tally.broken.push(BrokenPromise::FalseAnswer(request));
             }
             Verdict::Done | Verdict::Replayed => {
-                let window = (START + WARM, START + self.script.length);
+                let window = (START + WARMUP, START + self.script.length);
                 let received = self.now + self.model.times.client_ms;
                 self.tally.answered(call, self.now, received, window);
             }
             Verdict::Refused(refusal) => {
                 let drained = self.hosts[host].drained;
                 if refusal.code == Code::Draining && drained.is_some_and(|d| arrived < d) {
-                    self.tally.broken.push(Broken::CutOff(request));
+                    self.tally.broken.push(BrokenPromise::CutOff(request));
                 }
                 if refusal.ran == Ran::No && done > 0 {
-                    self.tally.broken.push(Broken::FalseNo(request));
+                    self.tally.broken.push(BrokenPromise::FalseNo(request));
                 }
                 if !call.poison {
                     self.tally.refused(&refusal, self.now - arrived);
                 }
-                self.come_back(number, refusal.retry_after);
+                self.schedule_resend(number, refusal.retry_after);
             }
         }
     }
 
-    /// A refused caller sends again, or goes.
-    fn come_back(&mut self, call: usize, told: Option<Ms>) {
+    /// Schedules the re-send of a refused call if its caller sends again in time.
+    fn schedule_resend(&mut self, call: usize, retry_after: Option<Ms>) {
         let sent = &self.calls[call];
         let wait = match (self.script.poison, self.script.resend) {
             (Some(poison), _) if sent.poison => {
                 (self.tries[call] <= poison.resends).then_some(poison.gap)
             }
             (_, Resend::Never) => None,
-            (_, Resend::Honour) => told,
+            (_, Resend::Honour) => retry_after,
             (_, Resend::Insist(gap)) => Some(gap),
         };
         let there = self.model.times.client_ms;
         let at = wait.map(|w| self.now + there + w + there);
-        let end = if sent.poison { START + self.script.length } else { sent.due };
+        let end = if sent.poison { START + self.script.length } else { sent.deadline };
         if let Some(at) = at.filter(|&at| at < end) {
             self.pending += 1;
-            self.agenda.at(at, Happening::Arrive { call });
+            self.events.schedule(at, SimEvent::Arrive { call });
         }
     }
 
-    /// How a registered request ended.
+    /// Stores in the journal how a registered request ended.
     pub fn finish(&mut self, request: RequestId, ending: Ending) {
         let record = match ending {
-            Ending::Done => Record::Done,
-            Ending::Released => Record::Free,
-            Ending::Lost => Record::Lost,
+            Ending::Done => KeyState::Done,
+            Ending::Released => KeyState::Free,
+            Ending::Lost => KeyState::Lost,
         };
         self.keys.insert(self.requests[index(request)].call, record);
     }
--- a/crates/model/src/deploy.rs
+++ b/crates/model/src/deploy.rs
@@ -1,4 +1,4 @@
-//! The two deployments, and how long their targets and links take in the model.
+//! The two example deployments, and the service times and latencies of the simulation.
 
 use base::{DomainId, Generation, HostId, Ms, TargetId};
 use conf::{Fleet, ParseError, Plan, PoolKind};
@@ -10,14 +10,14 @@
 /// One of the deployments in `examples/`.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 pub enum Deployment {
-    /// `cooperative.yaml`: attainment weighs more.
+    /// `cooperative.yaml`: weighs attainment more than cost.
     Cooperative,
-    /// `casing-and-quill.yaml`: cost weighs more.
+    /// `casing-and-quill.yaml`: weighs cost more than attainment.
     Publisher,
 }
 
 impl Deployment {
-    /// Both.
+    /// All deployments.
     pub const ALL: [Self; 2] = [Self::Cooperative, Self::Publisher];
 
     /// Its name.
@@ -28,17 +28,17 @@
         }
     }
 
-    /// The deployment of this name.
+    /// Looks a deployment up by its name.
     pub fn named(name: &str) -> Option<Self> {
         Self::ALL.into_iter().find(|d| d.as_str() == name)
     }
 
-    /// Its configuration, as the model serves it.
+    /// The deployment's configuration with the default times.
     pub fn model(self) -> Result<Model, ParseError> {
         self.with_times(Times::default())
     }
 
-    /// The same with other times.
+    /// The deployment's configuration with the given times.
     pub fn with_times(self, times: Times) -> Result<Model, ParseError> {
         let yaml = match self {
             Self::Cooperative => COOPERATIVE,
@@ -48,46 +48,46 @@
     }
 }
 
-/// How long things take. Nothing in it is known to the policy.
+/// Service times, latencies and capacities of the simulated system. The policy knows none of them.
 #[derive(Clone, Debug)]
 pub struct Times {
-    /// Requests that an engine batches at once.
+    /// Requests that an engine runs concurrently in one batch.
     pub engine_slots: u32,
-    /// Calls that a target of another kind runs at once.
+    /// Calls that a target of another kind runs concurrently.
     pub other_slots: u32,
-    /// Requests that wait at a target before it answers that it is full.
-    pub queue_room: usize,
-    /// Time of one token in an engine that runs nothing else, ms.
+    /// Capacity of a target's queue; further requests are answered that the target is full.
+    pub queue_capacity: usize,
+    /// Time to generate one token in an otherwise idle engine, ms.
     pub token_ms: f64,
-    /// Time to read one prompt token, ms.
+    /// Time to process one prompt token, ms.
     pub prefill_ms: f64,
-    /// How many times slower all of it is when every slot is taken.
-    pub crowded: f64,
-    /// Time of a call to a target that is no engine, ms, half to one and a half times this.
+    /// Factor by which all work slows down when every slot is in use.
+    pub full_slowdown: f64,
+    /// Mean time of a call to a target that isn't an engine, ms; drawn from 0.5 to 1.5 times this.
     pub call_ms: f64,
-    /// Tokens between two pieces of a stream.
+    /// Tokens in each piece of a stream after the first.
     pub piece_tokens: u32,
-    /// Prefixes that an engine holds.
-    pub cache_room: usize,
-    /// Share of the prompt that a prefix key covers.
+    /// Prefixes that an engine's cache can hold.
+    pub cache_capacity: usize,
+    /// Share of the prompt that a cached prefix covers.
     pub prefix_share: f64,
-    /// Share of executions that straggle, and how many times longer they take.
+    /// Share of executions that are stragglers, and the factor by which these take longer.
     pub straggle: (f64, f64),
-    /// One way between a caller and a host.
+    /// One-way latency between a caller and a host.
     pub client_ms: Ms,
-    /// One way inside a failure domain.
+    /// One-way latency inside a failure domain.
     pub local_ms: Ms,
-    /// From the last sign of a silent target to the host's giving up on it.
+    /// Time from the last data of a silent target until the host gives up on it.
     pub silence_ms: Ms,
-    /// From a crash to the restarted target.
+    /// Time from a target's crash until it has restarted.
     pub restart_ms: Ms,
-    /// From a request that crashes its target to the crash.
+    /// Time from the start of a poison request until its target crashes.
     pub crash_ms: Ms,
-    /// Answer of the journal.
+    /// Time until the journal answers.
     pub journal_ms: Ms,
-    /// A host's word to all others.
+    /// Time until an update that a host sends has reached all others.
     pub gossip_ms: Ms,
-    /// Until the balancer sends nothing more to the hosts of a lost failure domain.
+    /// Time until the load balancer stops sending to the hosts of a lost failure domain.
     pub balancer_ms: Ms,
     /// Entry hosts in each failure domain.
     pub hosts: u32,
@@ -98,13 +98,13 @@
         Self {
             engine_slots: 8,
             other_slots: 8,
-            queue_room: 256,
+            queue_capacity: 256,
             token_ms: 8.0,
             prefill_ms: 0.2,
-            crowded: 2.0,
+            full_slowdown: 2.0,
             call_ms: 12.0,
             piece_tokens: 16,
-            cache_room: 40,
+            cache_capacity: 40,
             prefix_share: 0.7,
             straggle: (0.005, 6.0),
             client_ms: Ms(2),
@@ -120,27 +120,27 @@
     }
 }
 
-/// A deployment ready to run.
+/// A deployment ready for simulation.
 #[derive(Clone, Debug)]
 pub struct Model {
-    /// The checked configuration, with the model's slots.
+    /// The validated configuration, with the simulation's slots.
     pub plan: Arc<Plan>,
-    /// How long things take.
+    /// Service times, latencies and capacities.
     pub times: Times,
-    /// Failure domains, in order of declaration.
+    /// Failure domains in order of declaration.
     pub domains: Vec<DomainId>,
-    /// Indexes of the engines in the plan's targets.
+    /// Indexes of the engines among the plan's targets.
     pub engines: Vec<usize>,
-    /// Failure domain of each of the plan's targets, as an index.
-    pub homes: Vec<usize>,
-    /// One way between failure domains.
+    /// Index of each target's failure domain.
+    pub target_domains: Vec<usize>,
+    /// One-way latency between failure domains.
     links: Vec<Vec<Ms>>,
-    /// Cost of a gigabyte from one failure domain to another; zero inside a region.
+    /// Cost of transferring a gigabyte between failure domains; zero inside a region.
     prices: Vec<Vec<f64>>,
 }
 
 impl Model {
-    /// A configuration with the model's slots in place of its own.
+    /// Validates a configuration after replacing its slots by those of `times`.
     pub fn new(mut fleet: Fleet, times: Times) -> Result<Self, ParseError> {
         for pool in &mut fleet.pools {
             let slots = match pool.kind {
@@ -156,30 +156,31 @@
             let n = places.len();
             (0..n).map(|a| (0..n).map(|b| f(a, b)).collect()).collect()
         };
-        let apart = |a: usize, b: usize| places[a].0.name != places[b].0.name;
+        let crosses_region = |a: usize, b: usize| places[a].0.name != places[b].0.name;
         let links = table(&|a, b| match () {
             () if a == b => times.local_ms.0 as f64,
-            () if apart(a, b) => places[a].0.far_ms.max(places[b].0.far_ms).0 as f64,
+            () if crosses_region(a, b) => places[a].0.far_ms.max(places[b].0.far_ms).0 as f64,
             () => places[a].1.near_ms.max(places[b].1.near_ms).0 as f64,
         });
-        let prices = table(&|a, b| if apart(a, b) { places[a].0.cost_per_gb } else { 0.0 });
+        let prices =
+            table(&|a, b| if crosses_region(a, b) { places[a].0.cost_per_gb } else { 0.0 });
         let links = links.iter().map(|l| l.iter().map(|&ms| Ms(ms as u64)).collect()).collect();
         let domains: Vec<DomainId> = places.iter().map(|(_, d)| d.name.clone()).collect();
         let home = |d: &DomainId| domains.iter().position(|x| x == d).unwrap_or(0);
-        let homes = plan.targets.iter().map(|t| home(&t.domain)).collect();
+        let target_domains = plan.targets.iter().map(|t| home(&t.domain)).collect();
         let engine = |i: &usize| plan.targets[*i].kind == PoolKind::Engine;
         let engines = (0..plan.targets.len()).filter(engine).collect();
-        Ok(Self { plan: Arc::clone(&plan), times, domains, engines, homes, links, prices })
+        Ok(Self { plan: Arc::clone(&plan), times, domains, engines, target_domains, links, prices })
     }
 
-    /// Entry hosts, with the failure domain of each.
+    /// Entry hosts, each with the index of its failure domain.
     pub(crate) fn hosts(&self) -> Vec<(HostId, usize)> {
         let of = |d: usize| (1..=self.times.hosts).map(move |i| (d, i));
         let all = (0..self.domains.len()).flat_map(of);
         all.map(|(d, i)| (HostId::from(format!("{}-{i}", self.domains[d])), d)).collect()
     }
 
-    /// One way from a failure domain to another.
+    /// One-way latency from one failure domain to another.
     pub(crate) fn link(&self, from: usize, to: usize) -> Ms {
         self.links[from][to]
     }
@@ -189,7 +190,7 @@
         self.plan.region(&self.domains[from]) != self.plan.region(&self.domains[to])
     }
 
-    /// Cost of a gigabyte from one failure domain to another.
+    /// Cost of transferring a gigabyte from one failure domain to another.
     pub(crate) fn price(&self, from: usize, to: usize) -> f64 {
         self.prices[from][to]
     }
@@ -199,13 +200,14 @@
         self.plan.target(name).expect("a policy names only targets of the plan")
     }
 
-    /// Work of the engines in a second with every slot taken, ms of a lone request.
+    /// Work that all engines do per second with every slot in use, measured in ms of a request that
+    /// runs alone.
     pub fn capacity(&self) -> f64 {
         let slots = self.engines.len() as f64 * f64::from(self.times.engine_slots);
-        slots * 1000.0 / self.times.crowded
+        slots * 1000.0 / self.times.full_slowdown
     }
 
-    /// Work of one request in an engine, ms, without any cached prefix.
+    /// Time of one request that runs alone in an engine without a cached prefix, ms.
     pub(crate) fn work(&self, tokens_in: u32, tokens_out: u32) -> f64 {
         f64::from(tokens_in) * self.times.prefill_ms + f64::from(tokens_out) * self.times.token_ms
     }
--- a/crates/model/src/figures.rs
+++ b/crates/model/src/figures.rs
@@ -1,29 +1,29 @@
-//! Percentiles of times.
+//! Percentiles of durations.
 
 use base::Ms;
 use hdrhistogram::Histogram;
 use serde::Serialize;
 
-/// Longest time that is told apart, ms.
-const LONGEST: u64 = 600_000;
+/// Longer durations are recorded as this value, ms.
+const MAX_RECORDED_MS: u64 = 600_000;
 
-/// Collects times.
+/// Histogram of durations.
 #[derive(Clone, Debug)]
-pub(crate) struct Spans(Histogram<u64>);
+pub(crate) struct Durations(Histogram<u64>);
 
-impl Default for Spans {
+impl Default for Durations {
     fn default() -> Self {
-        Self(Histogram::new_with_max(LONGEST, 3).expect("the bounds are valid"))
+        Self(Histogram::new_with_max(MAX_RECORDED_MS, 3).expect("the bounds are valid"))
     }
 }
 
-impl Spans {
-    /// Takes a time.
+impl Durations {
+    /// Records a duration.
     pub fn add(&mut self, span: Ms) {
         self.0.saturating_record(span.0);
     }
 
-    /// What was collected.
+    /// Percentiles of all recorded durations.
     pub fn percentiles(&self) -> Percentiles {
         let at = |q: f64| self.0.value_at_quantile(q);
         Percentiles {
@@ -36,17 +36,17 @@
     }
 }
 
-/// Percentiles of times, ms. All zero when there were none.
+/// Percentiles of durations, ms. All zero if none were recorded.
 #[derive(Clone, Copy, Debug, Default, PartialEq, Eq, Serialize)]
 pub struct Percentiles {
-    /// How many times were taken.
+    /// Number of recorded durations.
     pub count: u64,
-    /// The middle one.
+    /// Median.
     pub p50: u64,
-    /// 95 of 100 are not longer.
+    /// 95th percentile.
     pub p95: u64,
-    /// 99 of 100 are not longer.
+    /// 99th percentile.
     pub p99: u64,
-    /// The longest.
+    /// Maximum.
     pub most: u64,
 }
--- a/crates/model/src/lib.rs
+++ b/crates/model/src/lib.rs
@@ -1,8 +1,9 @@
-//! The served systems in virtual time, to measure decisions without a network or a clock.
+//! Discrete-event simulation of the served deployments, to evaluate policy decisions in virtual
+//! time without a network or a real clock.
 //!
-//! A [`Script`] says what callers send and what fails; [`run`] plays it against entry hosts that
-//! each hold a [`policy::Reducer`], and small queues that stand for targets. The same script,
-//! seed and policy give the same [`Outcome`].
+//! A [`Script`] describes the load and the faults; [`run`] executes it against simulated entry
+//! hosts, each with a [`policy::Reducer`], and targets that are modelled as small queues. The same
+//! script, seed and policy give the same [`Outcome`].
 
 mod cache;
 mod callers;
@@ -13,12 +14,12 @@
 mod figures;
 mod job;
 mod load;
-mod news;
 mod outcome;
 mod pattern;
 mod policies;
 mod queue;
 mod replay;
+mod reports;
 mod script;
 mod serve;
 mod server;
@@ -28,7 +29,7 @@
 
 pub use deploy::{Deployment, Model, Times};
 pub use figures::Percentiles;
-pub use outcome::{Broken, Group, Outcome, StageCost};
+pub use outcome::{BrokenPromise, Group, Outcome, StageCost};
 pub use pattern::Pattern;
 pub use policies::Policy;
 pub use replay::{Line, ReplayError, replay};
--- a/crates/model/src/outcome.rs
+++ b/crates/model/src/outcome.rs
@@ -1,4 +1,4 @@
-//! What a run came to, as callers and the bill see it.
+//! Results of a run: answers as callers see them, and costs.
 
 use base::{Ms, RequestId, TargetId};
 use policy::{Code, Ran, Refusal};
@@ -6,192 +6,194 @@
 use std::collections::BTreeMap;
 
 use crate::Model;
-use crate::figures::{Percentiles, Spans};
+use crate::figures::{Durations, Percentiles};
 use crate::load::Call;
 
-/// Arrivals and answers in the first seconds don't count for goodput: queues are still filling.
-pub(crate) const WARM: Ms = Ms::secs(5);
+/// Start of a run that doesn't count for goodput, since queues are still filling.
+pub(crate) const WARMUP: Ms = Ms::secs(5);
 
-/// What a run came to.
+/// Results of a run.
 #[derive(Clone, Debug, Default, PartialEq, Serialize)]
 pub struct Outcome {
-    /// Calls that their callers meant to send, poison ones not counted.
+    /// Calls that callers intended to send, without poison requests.
     pub calls: u64,
-    /// Share of them answered whole within their deadline, re-sends included.
+    /// Share of these calls that were answered completely within their deadline, re-sends included.
     pub attainment: f64,
-    /// Answered whole, but late.
+    /// Answered completely, but after the deadline.
     pub late: u64,
-    /// The same by workspace, in the plan's order.
+    /// Calls and attainment by workspace, in the plan's order.
     pub spaces: Vec<Group>,
-    /// The same by pipeline, in the plan's order.
+    /// Calls and attainment by pipeline, in the plan's order.
     pub pipelines: Vec<Group>,
-    /// Engine work of answers in time, as a share of what the engines can do at most without
-    /// cached prefixes.
+    /// Engine work for answers in time, as a share of the engines' capacity without cached
+    /// prefixes.
     pub goodput: f64,
-    /// From the intended send time to the whole answer, ms.
+    /// Time from the intended send time to the complete answer, ms.
     pub latency: Percentiles,
-    /// From the intended send time to the first piece of a stream at its host, ms.
+    /// Time from the intended send time until a stream's first piece reaches the host, ms.
     pub first_token: Percentiles,
-    /// From a request's arrival at a host to its refusal, ms.
+    /// Time from a request's arrival at a host to its refusal, ms.
     pub refusal: Percentiles,
-    /// Refusals by code.
+    /// Number of refusals by code.
     pub codes: BTreeMap<Code, u64>,
-    /// Refusals that said that nothing ran.
+    /// Refusals that state that nothing ran.
     pub not_run: u64,
-    /// Cost of each stage by name, wasted work included, in the configuration's unit.
+    /// Cost by stage name, wasted work included, in the configuration's unit.
     pub stages: Vec<StageCost>,
-    /// Bytes between regions.
+    /// Bytes sent between regions.
     pub cross_bytes: u64,
     /// Cost of these bytes.
     pub cross_cost: f64,
-    /// Attempts sent to each target, as a share of its pool's.
+    /// Attempts sent to each target, as a share of the attempts sent to its pool.
     pub shares: Vec<(TargetId, f64)>,
-    /// Attempts sent in all.
+    /// Total number of attempts sent.
     pub attempts: u64,
-    /// Share of prompt tokens with engines that a cached prefix saved.
+    /// Share of the engines' prompt tokens that were read from cached prefixes.
     pub cached: f64,
-    /// Engines brought down by poison requests.
+    /// Number of engine crashes caused by poison requests.
     pub crashes: u64,
-    /// Promises that were broken; empty in any sound policy.
-    pub broken: Vec<Broken>,
+    /// Promises that were broken; empty for any correct policy.
+    pub broken: Vec<BrokenPromise>,
 }
 
-/// Calls of one workspace, or to one pipeline.
+/// Calls of one workspace or to one pipeline.
 #[derive(Clone, Debug, PartialEq, Serialize)]
 pub struct Group {
     /// Its name.
     pub name: String,
-    /// Calls meant to be sent.
+    /// Calls that callers intended to send.
     pub calls: u64,
-    /// Share of them answered whole within their deadline.
+    /// Share of these calls that were answered completely within their deadline.
     pub attainment: f64,
 }
 
-/// One stage.
+/// Cost of one stage.
 #[derive(Clone, Debug, PartialEq, Serialize)]
 pub struct StageCost {
-    /// Its name, over all pipelines.
+    /// Its name; stages of this name in all pipelines are counted together.
     pub stage: String,
-    /// What was spent, in the configuration's unit.
+    /// Cost in the configuration's unit.
     pub cost: f64,
 }
 
 /// A promise that a policy broke.
 #[derive(Clone, Copy, Debug, PartialEq, Eq, Serialize)]
-pub enum Broken {
+pub enum BrokenPromise {
     /// A request got a second final answer.
     SecondAnswer(RequestId),
     /// A request never got a final answer.
     Unanswered(RequestId),
-    /// A whole answer was said before the last stage gave its result.
+    /// A request was answered as complete before its last stage had a result.
     FalseAnswer(RequestId),
-    /// A stage that may not be repeated was sent again.
+    /// A non-repeatable stage was sent again.
     SentAgain(RequestId),
-    /// A target that is known to be leaving got work.
+    /// An attempt was sent to a target that the host knew to be leaving.
     SentLeaving(RequestId),
-    /// A stream was resumed past the tokens that are held.
+    /// A stream was resumed beyond the tokens that the host holds.
     Gap(RequestId),
-    /// A stopping host refused a request that it had taken before.
+    /// A draining host refused a request that had arrived before the drain.
     CutOff(RequestId),
-    /// `ran: no` was said though a target gave a result.
+    /// A refusal stated `ran: no` although a stage had run.
     FalseNo(RequestId),
 }
 
 impl Outcome {
-    /// Cost of all stages and crossings for each answer in time, in the configuration's unit.
+    /// Cost of all stages and of traffic between regions per answer in time, in the configuration's
+    /// unit.
     pub fn unit_cost(&self) -> f64 {
         let spent: f64 = self.stages.iter().map(|s| s.cost).sum::<f64>() + self.cross_cost;
         spent / (self.attainment * self.calls as f64).max(1.0)
     }
 
-    /// Lowest attainment of the workspaces but the first, which is the hot one where one is.
+    /// Lowest attainment of all workspaces except the first, which is the hot one in patterns that
+    /// have one.
     pub fn small_workspaces(&self) -> f64 {
         self.spaces.iter().skip(1).map(|s| s.attainment).fold(1.0, f64::min)
     }
 }
 
-/// Counts while a run goes on.
+/// Counters of a run in progress.
 #[derive(Debug, Default)]
 pub(crate) struct Tally {
-    /// Calls and calls answered in time.
+    /// Calls, and calls answered in time, by workspace.
     spaces: Vec<(u64, u64)>,
     pipelines: Vec<(u64, u64)>,
     late: u64,
     work: f64,
-    latency: Spans,
-    first: Spans,
-    refusal: Spans,
+    latency: Durations,
+    first: Durations,
+    refusal: Durations,
     codes: BTreeMap<Code, u64>,
     not_run: u64,
     costs: BTreeMap<String, f64>,
     sends: Vec<u64>,
     read: (u64, u64),
-    /// Bytes between regions, and what they cost.
+    /// Bytes sent between regions, and their cost.
     pub cross: (u64, f64),
-    /// Engines brought down.
+    /// Engine crashes caused by poison requests.
     pub crashes: u64,
-    /// Promises broken.
-    pub broken: Vec<Broken>,
+    /// Broken promises.
+    pub broken: Vec<BrokenPromise>,
 }
 
 impl Tally {
-    /// Nothing counted yet.
+    /// Creates counters for these calls.
     pub fn new(model: &Model, calls: &[Call]) -> Self {
         let mut spaces = vec![(0, 0); model.plan.fleet.workspaces.len()];
         let mut pipelines = vec![(0, 0); model.plan.fleet.pipelines.len()];
         for call in calls.iter().filter(|c| !c.poison) {
-            spaces[call.space].0 += 1;
+            spaces[call.workspace].0 += 1;
             pipelines[call.pipeline].0 += 1;
         }
         Self { spaces, pipelines, sends: vec![0; model.plan.targets.len()], ..Self::default() }
     }
 
-    /// A whole answer that left its host at `now`.
+    /// Counts a complete answer that left its host at `now`.
     pub fn answered(&mut self, call: &Call, now: Ms, received: Ms, window: (Ms, Ms)) {
         if call.poison {
             return;
         }
         self.latency.add(received - call.at);
-        if now > call.due {
+        if now > call.deadline {
             self.late += 1;
             return;
         }
-        self.spaces[call.space].1 += 1;
+        self.spaces[call.workspace].1 += 1;
         self.pipelines[call.pipeline].1 += 1;
         if window.0 <= now && now <= window.1 {
             self.work += call.work;
         }
     }
 
-    /// A stream's first piece came.
+    /// Records the first piece of a stream.
     pub fn first_token(&mut self, call: &Call, now: Ms) {
         self.first.add(now - call.at);
     }
 
-    /// A refusal, and how long after its arrival it came.
+    /// Counts a refusal that came `after` this time from the request's arrival.
     pub fn refused(&mut self, refusal: &Refusal, after: Ms) {
         self.refusal.add(after);
         *self.codes.entry(refusal.code).or_default() += 1;
         self.not_run += u64::from(refusal.ran == Ran::No);
     }
 
-    /// An attempt went to a target.
+    /// Counts an attempt sent to a target.
     pub fn sent(&mut self, target: usize) {
         self.sends[target] += 1;
     }
 
-    /// Something of a stage was run.
+    /// Adds to the cost of a stage.
     pub fn spent(&mut self, stage: &str, cost: f64) {
         *self.costs.entry(stage.to_owned()).or_default() += cost;
     }
 
-    /// An engine read a prompt, some of it from its cache.
+    /// Counts the prompt tokens that an engine read, and those of them that were cached.
     pub fn read(&mut self, tokens: u32, cached: u32) {
         self.read.0 += u64::from(tokens);
         self.read.1 += u64::from(cached);
     }
 
-    /// The run is over.
+    /// Computes the results at the end of a run.
     pub fn close(self, model: &Model, window: Ms) -> Outcome {
         let sum = self.spaces.iter().fold((0, 0), |a, b| (a.0 + b.0, a.1 + b.1));
         let plan = &model.plan;
@@ -229,7 +231,7 @@
     }
 }
 
-/// Good ones of all; one when there were none.
+/// Share of good ones among all; 1 if there are none.
 fn share((all, good): (u64, u64)) -> f64 {
     if all == 0 { 1.0 } else { good as f64 / all as f64 }
 }
--- a/crates/model/src/pattern.rs
+++ b/crates/model/src/pattern.rs
@@ -1,4 +1,4 @@
-//! The patterns of load and faults that the decisions are measured on.
+//! The patterns of load and faults on which policies are compared.
 
 use base::Ms;
 
@@ -7,42 +7,42 @@
 /// A pattern of load, with its faults.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 pub enum Pattern {
-    /// 70 % of capacity.
+    /// Constant load of 70 % of capacity.
     Steady,
-    /// Half of capacity with bursts of 2.5 times capacity.
+    /// Load of half of capacity with bursts of 2.5 times capacity.
     Burst,
-    /// One workspace sends 80 % of 1.3 times capacity.
+    /// Load of 1.3 times capacity, 80 % of it from one workspace.
     HotCallers,
-    /// Three prefix keys take 80 % of the load.
+    /// Three prefix keys account for 80 % of the load.
     HotKeys,
     /// One engine is ten times slower.
     SlowTarget,
-    /// Many of the longest answers beside short ones.
+    /// Half of the requests ask for the longest answers.
     LongShort,
-    /// 1.5 times capacity.
+    /// Constant load of 1.5 times capacity.
     Saturation,
-    /// A failure domain is lost and comes back.
+    /// A failure domain is cut off and comes back.
     DomainLost,
     /// Load reports are five seconds old.
     StaleLoad,
-    /// Requests that bring engines down, sent again and again.
+    /// Requests that crash engines, re-sent up to 40 times.
     Poison,
     /// One engine goes silent and another is leaving.
     SilentTarget,
-    /// Two engines crash again and again, three seconds after they are back.
+    /// Two engines crash every eight seconds, three seconds after each restart.
     Flapping,
-    /// Half of all executions of engines fails.
+    /// Half of all engine executions fail for 20 seconds.
     Errors,
-    /// The retrievers can't keep up.
+    /// The retrievers are too slow for the load.
     SlowStage,
     /// A burst while an engine is slow.
     SlowBurst,
-    /// One workspace takes most of the load while a failure domain is lost.
+    /// One workspace sends most of the load while a failure domain is cut off.
     HotLost,
 }
 
 impl Pattern {
-    /// All of them.
+    /// All patterns.
     pub const ALL: [Self; 16] = [
         Self::Steady,
         Self::Burst,
@@ -84,21 +84,21 @@
         }
     }
 
-    /// The pattern of this name.
+    /// Looks a pattern up by its name.
     pub fn named(name: &str) -> Option<Self> {
         Self::ALL.into_iter().find(|p| p.as_str() == name)
     }
 
-    /// What is played.
+    /// The script of this pattern.
     pub fn script(self) -> Script {
         match self {
             Self::Steady => steady(0.7),
             Self::Burst => burst(),
-            Self::HotCallers => Script { hot_space: Some(0.8), ..steady(1.3) },
+            Self::HotCallers => Script { hot_workspace: Some(0.8), ..steady(1.3) },
             Self::HotKeys => Script { hot_keys: Some(3), prefixed: 1.0, ..steady(0.9) },
             Self::SlowTarget => slow(steady(0.7)),
             Self::LongShort => Script { long_share: Some(0.5), ..steady(0.9) },
-            // No prefix is shared, so that the engines' capacity is known exactly.
+            // Without shared prefixes the engines' capacity is known exactly.
             Self::Saturation => Script { prefixed: 0.0, ..steady(1.5) },
             Self::DomainLost => lost(steady(0.55)),
             Self::StaleLoad => stale(),
@@ -108,7 +108,7 @@
             Self::Errors => errors(),
             Self::SlowStage => slow_stage(),
             Self::SlowBurst => slow(burst()),
-            Self::HotLost => lost(Script { hot_space: Some(0.8), ..steady(0.9) }),
+            Self::HotLost => lost(Script { hot_workspace: Some(0.8), ..steady(0.9) }),
         }
     }
 }
@@ -117,7 +117,7 @@
     Script {
         length: Ms::secs(60),
         load: vec![(Ms::ZERO, load)],
-        hot_space: None,
+        hot_workspace: None,
         hot_keys: None,
         prefixed: 0.5,
         long_share: None,
@@ -129,7 +129,7 @@
     }
 }
 
-/// Bursts of four seconds: longer than a queue can hide within a deadline.
+/// Bursts of four seconds, which is longer than a queue can absorb within a deadline.
 fn burst() -> Script {
     let load = [(0, 0.5), (15, 2.5), (19, 0.5), (35, 2.5), (39, 0.5)];
     Script {
@@ -167,14 +167,14 @@
     Script { changes: (0..10).map(crash).collect(), ..steady(0.7) }
 }
 
-/// At a load where each failed execution is work that then lacks elsewhere.
+/// The load is so high that the capacity lost to failed executions is missed by other requests.
 fn errors() -> Script {
     let changes = vec![(Ms::secs(15), Change::Errors(0.5)), (Ms::secs(35), Change::Errors(0.0))];
     Script { changes, ..steady(0.85) }
 }
 
-/// An early stage takes most of the deadline: its pool, the third in both deployments, can serve
-/// about five sixths of the load.
+/// An early stage becomes 35 times slower and takes most of the deadline: its pool, the third in
+/// both deployments, can then serve about five sixths of the load.
 fn slow_stage() -> Script {
     let slow = |at, factor| (Ms::secs(at), Change::SlowPool(2, factor));
     Script { changes: vec![slow(15, 35.0), slow(40, 1.0)], ..steady(0.7) }
--- a/crates/model/src/policies.rs
+++ b/crates/model/src/policies.rs
@@ -1,20 +1,20 @@
-//! Which reducer the hosts run.
+//! Selection of the policy that the hosts run.
 
 use policy::{Decision, HostContext, Naive, Reducer, State};
 
-/// What the hosts decide by.
+/// The policy that the hosts run.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 pub enum Policy {
-    /// The baseline.
+    /// The baseline policy.
     Naive,
-    /// All decisions.
+    /// The full policy with all decisions.
     Full,
-    /// All but one.
+    /// The full policy with one decision left out.
     Without(Decision),
 }
 
 impl Policy {
-    /// The baseline, all decisions, and each left out.
+    /// The baseline, the full policy, and the full policy without each one of its decisions.
     pub fn all() -> Vec<Self> {
         let without = Decision::ALL.into_iter().map(Self::Without);
         [Self::Naive, Self::Full].into_iter().chain(without).collect()
@@ -29,17 +29,17 @@
         }
     }
 
-    /// The policy of this name.
+    /// Looks a policy up by its name.
     pub fn named(name: &str) -> Option<Self> {
         Self::all().into_iter().find(|p| p.name() == name)
     }
 
-    /// A fresh reducer for one host.
-    pub fn reducer(self, placed: HostContext) -> Box<dyn Reducer> {
+    /// Creates the reducer of one host.
+    pub fn reducer(self, context: HostContext) -> Box<dyn Reducer> {
         match self {
             Self::Naive => Box::new(Naive::new()),
-            Self::Full => Box::new(State::new(placed, &[])),
-            Self::Without(decision) => Box::new(State::new(placed, &[decision])),
+            Self::Full => Box::new(State::new(context, &[])),
+            Self::Without(decision) => Box::new(State::new(context, &[decision])),
         }
     }
 }
--- a/crates/model/src/queue.rs
+++ b/crates/model/src/queue.rs
@@ -1,4 +1,4 @@
-//! What happens next in virtual time: ordered by time, then by order of entry.
+//! The event queue of the simulation, ordered by virtual time and then by order of insertion.
 
 use base::Ms;
 use policy::Event;
@@ -7,81 +7,81 @@
 
 use crate::Change;
 
-/// Something that happens at a time.
+/// An event of the simulation.
 #[derive(Debug)]
-pub(crate) enum Happening {
+pub(crate) enum SimEvent {
     /// A call, or its re-send, reaches a host.
     Arrive { call: usize },
-    /// A host learns something that belongs to no attempt.
+    /// An event that belongs to no attempt reaches a host.
     Feed { host: usize, event: Event },
-    /// A host learns something of an attempt.
-    Tell { job: usize, news: Told },
+    /// An event of an attempt reaches its host.
+    Deliver { job: usize, update: AttemptEvent },
     /// An attempt reaches its target.
     Reach { job: usize },
-    /// A running attempt is a step further.
+    /// A running attempt completes a step.
     Step { job: usize },
-    /// A cancel reaches the target.
+    /// A cancellation reaches the target.
     Stop { job: usize },
     /// A crashed target listens again.
     Restart { target: usize },
-    /// A host's timer.
+    /// A host's periodic timer fires.
     Tick { host: usize },
-    /// Targets of a failure domain report their load.
+    /// All targets report their load.
     Report,
-    /// The script changes something.
+    /// A change from the script takes effect.
     Change(Change),
 }
 
-/// What a host learns of an attempt.
+/// What a host learns about an attempt.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
-pub(crate) enum Told {
-    /// Its first byte was handed to a socket.
+pub(crate) enum AttemptEvent {
+    /// Its first byte was written to a socket.
     Sent,
-    /// Tokens held.
+    /// A piece of a stream, with the number of tokens generated so far.
     Piece(u32),
-    /// The result.
+    /// It completed with a result.
     Done,
-    /// No result.
+    /// It failed.
     Failed(policy::Fault),
 }
 
-/// All that is still to happen.
+/// All pending events.
 #[derive(Debug, Default)]
-pub(crate) struct Agenda {
-    heap: BinaryHeap<Reverse<(Ms, u64, Slot)>>,
-    next: u64,
+pub(crate) struct EventQueue {
+    heap: BinaryHeap<Reverse<(Ms, u64, Payload)>>,
+    sequence: u64,
 }
 
-/// Keeps the heap's order to time and entry alone.
+/// An event that takes no part in the heap's order, which is by time and insertion only.
 #[derive(Debug)]
-struct Slot(Happening);
+struct Payload(SimEvent);
 
-impl PartialEq for Slot {
+impl PartialEq for Payload {
     fn eq(&self, _: &Self) -> bool {
         true
     }
 }
-impl Eq for Slot {}
-impl PartialOrd for Slot {
+impl Eq for Payload {}
+impl PartialOrd for Payload {
     fn partial_cmp(&self, other: &Self) -> Option<std::cmp::Ordering> {
         Some(self.cmp(other))
     }
 }
-impl Ord for Slot {
+impl Ord for Payload {
     fn cmp(&self, _: &Self) -> std::cmp::Ordering {
         std::cmp::Ordering::Equal
     }
 }
 
-impl Agenda {
-    /// Plans something.
-    pub fn at(&mut self, at: Ms, what: Happening) {
-        self.heap.push(Reverse((at, self.next, Slot(what))));
-        self.next += 1;
+impl EventQueue {
+    /// Schedules an event.
+    pub fn schedule(&mut self, at: Ms, event: SimEvent) {
+        self.heap.push(Reverse((at, self.sequence, Payload(event))));
+        self.sequence += 1;
     }
 
-    /// What is next.
-    pub fn pop(&mut self) -> Option<(Ms, Happening)> {
-        self.heap.pop().map(|Reverse((at, _, slot))| (at, slot.0))
+    /// Removes and returns the next event.
+    pub fn pop(&mut self) -> Option<(Ms, SimEvent)> {
+        self.heap.pop().map(|Reverse((at, _, payload))| (at, payload.0))
     }
 }
--- a/crates/model/src/replay.rs
+++ b/crates/model/src/replay.rs
@@ -1,4 +1,4 @@
-//! Events of a host as a file, one JSON line each, and the effects that they give.
+//! Replays a file of a host's events, one JSON line each, and writes the effects that follow.
 
 use base::Ms;
 use policy::{Effect, Event, HostContext, Reducer};
@@ -12,21 +12,21 @@
 #[derive(Clone, Debug, Serialize, Deserialize)]
 #[serde(untagged)]
 pub enum Line {
-    /// Where the host stands. The first line.
+    /// The host's context; must be the first line.
     Placed {
-        /// Where, and its seed.
+        /// The host's name, failure domain, region and seed.
         placed: HostContext,
     },
-    /// What happened, and when.
+    /// An event at a time.
     Event {
-        /// When, ms.
+        /// Time of the event, ms.
         at: Ms,
-        /// What.
+        /// The event.
         event: Event,
     },
 }
 
-/// One line of the effects that are printed.
+/// One line of the output.
 #[derive(Serialize)]
 struct Out<'a> {
     at: Ms,
@@ -36,32 +36,32 @@
 /// Why a file of events can't be replayed.
 #[derive(Debug, Error)]
 pub enum ReplayError {
-    /// A line is no event.
+    /// A line can't be parsed.
     #[error("line {line}: {source}; give {{\"at\": ms, \"event\": ...}}")]
     Line {
         /// Counted from 1.
         line: usize,
-        /// What the parser says.
+        /// The parser's error.
         source: serde_json::Error,
     },
-    /// Events come before the host's place is known.
+    /// The host's context is missing on the first line, or is given again later.
     #[error("line {line}: give {{\"placed\": ...}} once, as the first line")]
     Unplaced {
         /// Counted from 1.
         line: usize,
     },
-    /// Time goes back.
+    /// An event is older than the one before it.
     #[error("line {line}: time goes back; sort the lines by \"at\"")]
     Order {
         /// Counted from 1.
         line: usize,
     },
-    /// The file can't be read, or the effects can't be written.
+    /// Reading the events or writing the effects failed.
     #[error("reading events or writing effects: {0}")]
     Io(#[from] std::io::Error),
 }
 
-/// Feeds each event and writes the effects, one JSON line each.
+/// Feeds each event to the policy and writes the effects, one JSON line each.
 pub fn replay(
     policy: Policy,
     events: impl BufRead,
--- a/crates/model/src/news.rs
+++ b/crates/model/src/reports.rs
@@ -1,26 +1,27 @@
-//! What hosts hear of targets besides answers: late load reports and gappy cache
-//! events.
+//! What hosts learn of targets besides answers: delayed load reports, and cache events that are
+//! delayed and partly lost.
 
 use base::Ms;
 use policy::Event;
 use rand::RngExt;
 
-use crate::queue::Happening;
+use crate::queue::SimEvent;
 use crate::server::Health;
 use crate::world::World;
 
-/// Share of cache events that never come.
+/// Share of cache events that are lost.
 const CACHE_GAPS: f64 = 0.1;
-/// Cache events come this late, ms.
+/// Range of the delay of cache events, ms.
 const CACHE_LATE: std::ops::Range<u64> = 200..2_000;
 
 impl World<'_> {
-    /// Each target reports to the hosts of its own failure domain; others hear each pool's sum.
+    /// Sends each target's load to the hosts of its own failure domain, and each pool's total to
+    /// the hosts of all others.
     pub fn report(&mut self) {
         let at = self.now;
         let due = at + self.script.report_lag;
         for target in 0..self.servers.len() {
-            let home = self.model.homes[target];
+            let home = self.model.target_domains[target];
             if self.servers[target].health != Health::Up || self.lost[home] {
                 continue;
             }
@@ -29,13 +30,13 @@
             let name = self.model.plan.targets[target].name.clone();
             for host in self.hosts_in(home) {
                 let event = Event::Load { target: name.clone(), running, queued, at };
-                self.agenda.at(due, Happening::Feed { host, event });
+                self.events.schedule(due, SimEvent::Feed { host, event });
             }
         }
         for domain in 0..self.model.domains.len() {
             self.report_domain(domain, due);
         }
-        self.agenda.at(at + self.script.report_every, Happening::Report);
+        self.events.schedule(at + self.script.report_every, SimEvent::Report);
     }
 
     fn report_domain(&mut self, domain: usize, due: Ms) {
@@ -43,7 +44,7 @@
         for pool in &plan.fleet.pools {
             let mine = |t: &usize| {
                 plan.targets[*t].pool == pool.name
-                    && self.model.homes[*t] == domain
+                    && self.model.target_domains[*t] == domain
                     && self.servers[*t].health == Health::Up
             };
             let (mut running, mut queued, mut slots) = (0, 0, 0);
@@ -63,7 +64,7 @@
                     slots,
                     at: self.now,
                 };
-                self.agenda.at(due, Happening::Feed { host, event });
+                self.events.schedule(due, SimEvent::Feed { host, event });
             }
         }
     }
@@ -72,19 +73,20 @@
         (0..self.hosts.len()).filter(|&h| self.hosts[h].domain == domain).collect()
     }
 
-    /// An engine uses a prefix. True when it was cached.
+    /// Uses a prefix in an engine's cache and returns whether it was cached. Publishes the cache
+    /// events that follow.
     pub fn use_prefix(&mut self, target: usize, prefix: u64) -> bool {
         let hit = self.servers[target].cache.touch(prefix);
         if !hit {
-            self.tell_cache(target, prefix, true);
+            self.publish_cache_event(target, prefix, true);
         }
         if let Some(gone) = self.servers[target].cache.evict() {
-            self.tell_cache(target, gone, false);
+            self.publish_cache_event(target, gone, false);
         }
         hit
     }
 
-    fn tell_cache(&mut self, target: usize, prefix: u64, stored: bool) {
+    fn publish_cache_event(&mut self, target: usize, prefix: u64, stored: bool) {
         self.servers[target].seq += 1;
         let seq = self.servers[target].seq;
         let due = self.now + Ms(self.rng.random_range(CACHE_LATE));
@@ -92,9 +94,9 @@
             return;
         }
         let name = self.model.plan.targets[target].name.clone();
-        for host in self.hosts_in(self.model.homes[target]) {
+        for host in self.hosts_in(self.model.target_domains[target]) {
             let event = Event::Cache { target: name.clone(), seq, prefix, stored };
-            self.agenda.at(due, Happening::Feed { host, event });
+            self.events.schedule(due, SimEvent::Feed { host, event });
         }
     }
 }
--- a/crates/model/src/script.rs
+++ b/crates/model/src/script.rs
@@ -1,79 +1,82 @@
-//! What callers send and what fails in one run.
+//! The load and the faults of one run.
 
 use base::Ms;
 
 /// A run's load and faults. Times count from its start.
 #[derive(Clone, Debug)]
 pub struct Script {
-    /// Arrivals stop after this; what is open is played to its end.
+    /// Arrivals stop after this time; open requests still run to their end.
     pub length: Ms,
-    /// From each time on, arrivals as a share of the engines' capacity.
+    /// Steps of the load: a start time, and the load from then on as a share of the engines'
+    /// capacity.
     pub load: Vec<(Ms, f64)>,
-    /// Share of the load that the first workspace sends; by weight when none.
-    pub hot_space: Option<f64>,
-    /// Number of prefix keys that take 80 % of the load; none when the keys are spread.
+    /// Share of the load that the first workspace sends; if `None`, the load is split by weight.
+    pub hot_workspace: Option<f64>,
+    /// Number of prefix keys that account for 80 % of the load; if `None`, all keys are equally
+    /// frequent.
     pub hot_keys: Option<u64>,
     /// Share of requests that carry a prefix key.
     pub prefixed: f64,
-    /// Share of requests to the pipeline with the longest answers; the usual mix when none.
+    /// Share of requests to the pipeline with the longest answers; if `None`, the default mix.
     pub long_share: Option<f64>,
-    /// What happens to targets and failure domains, in order of time.
+    /// Faults and other changes, in order of time.
     pub changes: Vec<(Ms, Change)>,
-    /// Age of load reports when they are read.
+    /// Delay of load reports until hosts get them.
     pub report_lag: Ms,
     /// Time between load reports of one target.
     pub report_every: Ms,
-    /// Requests that bring down the targets that run them.
+    /// Requests that crash the targets that run them.
     pub poison: Option<Poisoned>,
-    /// What callers do when they are refused.
+    /// What callers do after a refusal.
     pub resend: Resend,
 }
 
-/// What happens to targets.
+/// A fault or other change during a run.
 #[derive(Clone, Copy, Debug, PartialEq)]
 pub enum Change {
-    /// The engine with this index takes this many times longer; 1 mends it.
+    /// The engine with this index becomes slower by this factor; 1 restores it.
     Slow(usize, f64),
-    /// All targets of the pool with this index take this many times longer; 1 mends them.
+    /// All targets of the pool with this index become slower by this factor; 1 restores them.
     SlowPool(usize, f64),
-    /// This share of all engines' executions ends with an error; 0 mends them.
+    /// This share of all engine executions fails; 0 restores the engines.
     Errors(f64),
-    /// The engine with this index crashes and restarts cold.
+    /// The engine with this index crashes and restarts with an empty cache.
     Crash(usize),
-    /// The engine with this index answers nothing any more, on old and new connections.
+    /// The engine with this index stops answering, on existing and new connections.
     Silent(usize),
     /// The engine with this index is leaving.
     Leaving(usize),
     /// The failure domain with this index is cut off with all its targets.
     Lost(usize),
-    /// The failure domain with this index is back; its targets start cold.
+    /// The failure domain with this index is reconnected; its targets start with empty caches.
     Back(usize),
-    /// The host with this index is stopping; the balancer hears of it later.
+    /// The host with this index drains; the load balancer learns of it later.
     Drain(usize),
-    /// The balancer sends nothing more to the hosts of the failure domain with this index.
+    /// The load balancer stops sending to the hosts of the failure domain with this index.
     Avoid(usize),
-    /// The balancer sends nothing more to the host with this index.
+    /// The load balancer stops sending to the host with this index.
     Unlist(usize),
 }
 
-/// Requests that bring down the targets that run them.
+/// Poison requests, which crash the targets that run them.
 #[derive(Clone, Copy, Debug, PartialEq)]
 pub struct Poisoned {
-    /// How many callers send one.
+    /// Number of callers that send one each.
     pub callers: u32,
-    /// How often each sends it again.
+    /// How often each caller re-sends it.
     pub resends: u32,
-    /// Time from a failure to the next re-send.
+    /// Time from a refusal to the next re-send.
     pub gap: Ms,
 }
 
-/// What callers do when they are refused.
+/// What callers do after a refusal.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 pub enum Resend {
-    /// They go.
+    /// They give up.
     Never,
-    /// They come back after the time that they were told, while their deadline allows it.
+    /// They re-send after the retry time given in the refusal, if any, while their deadline allows
+    /// it.
     Honour,
-    /// They come back after this time whatever they were told, while their deadline allows it.
+    /// They re-send after this time, whatever the refusal says, while their deadline allows it.
     Insist(Ms),
 }
--- a/crates/model/src/server.rs
+++ b/crates/model/src/server.rs
@@ -1,4 +1,4 @@
-//! One target: slots, a queue in front of them, and time that stretches as slots fill.
+//! One simulated target: slots with a queue in front of them, slower the more slots are in use.
 
 use base::Ms;
 use conf::PoolKind;
@@ -7,47 +7,47 @@
 use crate::cache::Cache;
 use crate::deploy::Times;
 
-/// Whether a target answers.
+/// Health of a target.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 pub(crate) enum Health {
     /// It answers.
     Up,
-    /// It crashed and restarts; nothing listens.
+    /// It crashed and is restarting; connections are refused.
     Down,
-    /// It answers nothing, and doesn't close connections.
+    /// It never answers, but keeps connections open.
     Silent,
 }
 
-/// A target's state.
+/// State of a target.
 #[derive(Debug)]
 pub(crate) struct Server {
-    /// What it is.
+    /// Kind of its pool.
     pub kind: PoolKind,
-    /// Jobs that wait.
+    /// Queued jobs.
     pub queue: VecDeque<usize>,
-    /// Jobs that run.
+    /// Running jobs.
     pub running: Vec<usize>,
-    /// Prefixes held.
+    /// Cached prefixes.
     pub cache: Cache,
-    /// Whether it answers.
+    /// Its health.
     pub health: Health,
-    /// How many times longer everything takes.
+    /// Factor by which all work is slowed down.
     pub slow: f64,
-    /// Share of executions that end with an error.
+    /// Share of executions that fail.
     pub errors: f64,
-    /// Count of cache events.
+    /// Sequence number of the last cache event.
     pub seq: u64,
     slots: usize,
 }
 
 impl Server {
-    /// An idle target.
+    /// Creates an idle target.
     pub fn new(kind: PoolKind, slots: u32, times: &Times) -> Self {
         Self {
             kind,
             queue: VecDeque::new(),
             running: Vec::new(),
-            cache: Cache::new(times.cache_room),
+            cache: Cache::new(times.cache_capacity),
             health: Health::Up,
             slow: 1.0,
             errors: 0.0,
@@ -61,14 +61,14 @@
         self.running.len() < self.slots
     }
 
-    /// How many times longer things take now.
-    pub fn stretch(&self, times: &Times) -> f64 {
+    /// Factor by which work is slowed down at the current load.
+    pub fn slowdown(&self, times: &Times) -> f64 {
         let others = self.running.len().saturating_sub(1) as f64;
         let most = self.slots.saturating_sub(1).max(1) as f64;
-        self.slow * (1.0 + others / most * (times.crowded - 1.0))
+        self.slow * (1.0 + others / most * (times.full_slowdown - 1.0))
     }
 
-    /// Takes a job out, wherever it is. True when it held a slot.
+    /// Removes a job, whether queued or running. Returns whether it held a slot.
     pub fn drop_job(&mut self, job: usize) -> bool {
         self.queue.retain(|&j| j != job);
         let before = self.running.len();
@@ -76,7 +76,7 @@
         self.running.len() < before
     }
 
-    /// Loses all jobs and the cache.
+    /// Clears the cache and removes all jobs, which it returns.
     pub fn crash(&mut self) -> Vec<usize> {
         self.cache.clear();
         let queued = self.queue.drain(..);
@@ -84,7 +84,7 @@
     }
 }
 
-/// Whole milliseconds of a time that was worked out, at least one.
-pub(crate) fn ms(time: f64) -> Ms {
+/// Rounds a computed time in ms to whole milliseconds, at least one.
+pub(crate) fn to_ms(time: f64) -> Ms {
     Ms((time.round() as u64).max(1))
 }
--- a/crates/model/src/stages/design.rs
+++ b/crates/model/src/stages/design.rs
@@ -1,61 +1,65 @@
-//! What is played, and what it came to.
+//! Parameters and results of a simulation of batched stages.
 
-/// Who fills the calls.
+/// Which host composes the calls to stage targets.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 pub enum Design {
     /// Each stage of each request is a call of its own.
     Single,
-    /// Each host fills calls with its own pieces.
+    /// Each host fills calls with the pieces of its own requests.
     PerHost,
-    /// The same, and each host gathers pieces for a while first.
+    /// Like [`Self::PerHost`], but each host first gathers pieces for a short time.
     Window,
-    /// A target's calls come from one host at a time; the lease moves on after each.
+    /// One host at a time holds the lease of a target and sends it a call; the lease moves on after
+    /// each call.
     Lease,
-    /// Each target has a host of its own, that gets a stage from two targets' by its queue.
+    /// Each target has one host that composes its calls. A stage's pieces go to the shorter queue
+    /// of two targets drawn at random.
     PerTarget,
-    /// One host for all calls of a service.
+    /// One host composes all calls of a service.
     Composer,
 }
 
-/// What fails between six and fourteen seconds of the day.
+/// The fault that lasts from 6 s to 14 s of a run.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 pub enum Fault {
-    /// Nothing.
+    /// No fault.
     None,
     /// One target of each service is five times slower.
     Slow,
-    /// One target of each service is gone without a word.
+    /// One target of each service disappears without notice.
     Lost,
-    /// The hosts that compose are gone; others follow. Other designs lose the hosts' pieces alike.
+    /// The hosts that compose calls fail and others succeed them. In designs without composers for
+    /// several hosts, one host's pieces are lost in the same way.
     Host,
-    /// Hosts see different others: two compose for all targets, each for half of the hosts.
+    /// The hosts disagree about the membership: two hosts compose calls for all targets, each for
+    /// half of the hosts.
     Split,
 }
 
-/// What comes, and what fails.
+/// Load and fault of a run.
 #[derive(Clone, Copy, Debug)]
 pub struct Load {
-    /// Entry hosts.
+    /// Number of entry hosts.
     pub hosts: usize,
-    /// Requests, as a multiple of the co-operative's ordinary load.
+    /// Request rate as a multiple of the ordinary load of the co-operative deployment.
     pub factor: f64,
-    /// What fails.
+    /// The fault.
     pub fault: Fault,
 }
 
-/// What a day came to.
+/// Results of a run.
 #[derive(Clone, Debug, Default)]
 pub struct RunStats {
-    /// Requests and those in time, by kind.
+    /// Requests, and requests served in time, by kind.
     pub kinds: [(u64, u64); 3],
-    /// Worth of all requests, and of those in time.
+    /// Value of all requests, and of those served in time.
     pub value: (f64, f64),
-    /// Calls, and pieces in them.
+    /// Calls, and the pieces in them.
     pub calls: (u64, u64),
 }
 
 impl RunStats {
-    /// Share of requests that were in time.
+    /// Share of requests that were served in time.
     pub fn in_time(&self) -> f64 {
         let sum = self.kinds.iter().fold((0, 0), |a, k| (a.0 + k.0, a.1 + k.1));
         sum.1 as f64 / sum.0.max(1) as f64
--- a/crates/model/src/stages/faults.rs
+++ b/crates/model/src/stages/faults.rs
@@ -1,33 +1,34 @@
-//! What fails in the middle of a day.
+//! Faults in the middle of a run.
 
 use base::Ms;
 use std::collections::HashSet;
 
 use super::design::{Design, Fault};
 use super::path::TARGETS;
-use super::play::{What, World};
+use super::play::{SimEvent, World};
 use super::targets::Target;
 
-/// When a fault begins and ends.
-pub(super) const FAULT: (Ms, Ms) = (Ms(6_000), Ms(14_000));
-/// Time until the hosts notice that a composer is gone, or a target.
-pub(super) const NOTICE: (Ms, Ms) = (Ms(400), Ms(3_000));
-/// A slow target takes this many times as long.
-const SLOW: u64 = 5;
+/// Start and end of the fault.
+pub(super) const FAULT_PERIOD: (Ms, Ms) = (Ms(6_000), Ms(14_000));
+/// Time until the hosts detect the loss of a composer, and of a target.
+pub(super) const DETECTION: (Ms, Ms) = (Ms(400), Ms(3_000));
+/// Factor by which a slow target takes longer.
+const SLOW_FACTOR: u64 = 5;
 
 impl World {
     pub(super) fn begin_fault(&mut self) {
-        self.faulty = true;
+        self.fault_active = true;
         let first = |service: usize| service * TARGETS;
         match self.load.fault {
             Fault::None | Fault::Split => {}
-            Fault::Slow => (0..3).for_each(|s| self.targets[first(s)].slow = SLOW),
+            Fault::Slow => (0..3).for_each(|s| self.targets[first(s)].slow = SLOW_FACTOR),
             Fault::Lost => (0..3).for_each(|s| self.targets[first(s)].lost = true),
             Fault::Host => self.lose_host(),
         }
     }
 
-    /// What the lost host's composers had is handed in again, where the others compose.
+    /// Removes the composers of the lost host. Their unfinished pieces are submitted again to the
+    /// successors once the loss is detected.
     pub(super) fn lose_host(&mut self) {
         let gone: Vec<usize> = match self.design {
             Design::Single => return,
@@ -37,41 +38,42 @@
             Design::PerTarget => (0..3).map(|s| s * TARGETS).collect(),
             Design::Composer => (0..3).map(|s| s * 2).collect(),
         };
-        let of = |unit: &usize| gone.contains(unit);
-        self.pending.retain(|(unit, _)| !gone.contains(unit));
+        let of = |composer: &usize| gone.contains(composer);
+        self.pending.retain(|(composer, _)| !gone.contains(composer));
         let left: HashSet<(u64, usize)> =
             self.pieces.values().filter(|(.., u)| of(u)).map(|(r, s, _)| (*r, *s)).collect();
-        self.pieces.retain(|_, (_, _, unit)| !gone.contains(unit));
+        self.pieces.retain(|_, (_, _, composer)| !gone.contains(composer));
         let mut left: Vec<_> = left.into_iter().collect();
         left.sort();
         for (request, stage) in left {
-            self.at(self.now + NOTICE.0, What::Submit(request, stage));
+            self.schedule(self.now + DETECTION.0, SimEvent::Submit(request, stage));
         }
-        for unit in gone {
-            self.units[unit].dead = true;
-            let (service, places) = (self.units[unit].service, self.units[unit].places.clone());
-            let follower = match self.design {
-                Design::Composer => unit + 1,
-                _ => self.add_unit(service, &places),
+        for composer in gone {
+            self.composers[composer].dead = true;
+            let (service, assigned) =
+                (self.composers[composer].service, self.composers[composer].assigned.clone());
+            let successor = match self.design {
+                Design::Composer => composer + 1,
+                _ => self.add_composer(service, &assigned),
             };
-            self.followers.insert(unit, follower);
+            self.successors.insert(composer, successor);
         }
     }
 
-    /// The hosts hear which targets are left.
+    /// Tells the composers which targets remain after a loss.
     pub(super) fn notice(&mut self) {
         if self.load.fault != Fault::Lost || matches!(self.design, Design::Lease | Design::Single) {
             return;
         }
-        for unit in 0..self.units.len() {
-            let mut left = self.units[unit].places.clone();
+        for composer in 0..self.composers.len() {
+            let mut left = self.composers[composer].assigned.clone();
             left.retain(|t| !self.targets[*t].lost);
-            self.tell_targets(unit, &left);
+            self.set_targets(composer, &left);
         }
     }
 
     pub(super) fn end_fault(&mut self) {
-        self.faulty = false;
+        self.fault_active = false;
         let lost = self.targets.iter().any(|t| t.lost);
         for target in &mut self.targets {
             let service = target.service;
@@ -80,9 +82,9 @@
             }
         }
         if lost && !matches!(self.design, Design::Lease | Design::Single) {
-            for unit in 0..self.units.len() {
-                let all = self.units[unit].places.clone();
-                self.tell_targets(unit, &all);
+            for composer in 0..self.composers.len() {
+                let all = self.composers[composer].assigned.clone();
+                self.set_targets(composer, &all);
             }
         }
     }
--- a/crates/model/src/stages/mod.rs
+++ b/crates/model/src/stages/mod.rs
@@ -1,12 +1,14 @@
-//! Requests with stages made in batches, in virtual time: who fills the calls of stage targets.
+//! Simulation of requests with batched stages in virtual time, to compare which host should compose
+//! the calls to stage targets.
 //!
-//! Many hosts get requests; a few targets with one place each make the pieces of their stages, in
-//! calls whose fixed time outweighs that of a piece. A [`Design`] says which host composes a
-//! target's calls; each composer is a [`sched::batch::Batcher`] as the product runs it. Other
-//! designs are given what they would have to earn: leases pass without a message, and who owns a
-//! target knows its queue.
+//! Many hosts receive requests. A few targets, each of which runs one call at a time, make the
+//! pieces of the stages in calls whose fixed time outweighs the time per piece. A [`Design`] states
+//! which host composes a target's calls; each composer is a [`sched::batch::Batcher`], the same
+//! code as in production. The alternative designs get some things for free that would cost them
+//! messages in practice: leases pass on without a message, and the host that owns a target knows
+//! its queue.
 //!
-//! The engine after the stages is a constant time here: the rest of this crate models engines.
+//! The engine after the stages is a constant time here; the rest of this crate models engines.
 
 mod design;
 mod faults;
--- a/crates/model/src/stages/play.rs
+++ b/crates/model/src/stages/play.rs
@@ -1,4 +1,4 @@
-//! A day of requests with stages, by design.
+//! The simulation of requests with batched stages: its event loop, composers and targets.
 
 use base::{DomainId, Ms, PoolId};
 use catalog::Batch;
@@ -10,23 +10,23 @@
 use std::collections::{BinaryHeap, HashMap, HashSet};
 
 use super::design::{Design, Fault, Load, RunStats};
-use super::faults::{FAULT, NOTICE};
-use super::path::{self, KEEP, Kind, RATE, TARGETS};
+use super::faults::{DETECTION, FAULT_PERIOD};
+use super::path::{self, BASE_RATE, Kind, RESULT_TTL, TARGETS};
 use super::targets::{Call, Target, name, number};
 
-/// Length of a day, ms.
+/// Length of a run.
 pub const RUN_LENGTH: Ms = Ms(25_000);
 
 #[derive(Clone, Debug, PartialEq, Eq, PartialOrd, Ord)]
-pub(super) enum What {
+pub(super) enum SimEvent {
     Arrive(usize),
     Submit(u64, usize),
     Wake(usize),
     End(usize),
     Timeout(usize, CallId, usize),
-    Begin,
+    FaultBegin,
     Notice,
-    Over,
+    FaultEnd,
 }
 
 pub(super) struct Request {
@@ -34,51 +34,52 @@
     pub(super) host: usize,
     pub(super) since: Ms,
     pub(super) pieces: Vec<u64>,
-    /// Pieces by stage: those to be made, and those made.
-    pub(super) left: Vec<u64>,
+    /// Number of pieces still to be made, by stage.
+    pub(super) remaining: Vec<u64>,
+    /// Pieces made so far and the targets that hold them, by stage.
     pub(super) made: Vec<Vec<(PieceId, usize)>>,
-    /// Pieces of the stage that have not read their inputs.
+    /// Pieces that have not read their inputs yet, by stage.
     pub(super) unread: Vec<u64>,
-    pub(super) over: bool,
+    pub(super) failed: bool,
 }
 
-pub(super) struct Unit {
+pub(super) struct Composer {
     pub(super) service: usize,
     pub(super) batcher: Batcher,
     pub(super) wake: Ms,
-    /// Targets that it composes for while all are well.
-    pub(super) places: Vec<usize>,
-    /// Its host is gone.
+    /// Targets that it composes calls for while none is lost.
+    pub(super) assigned: Vec<usize>,
+    /// Whether its host has failed.
     pub(super) dead: bool,
 }
 
 pub(super) struct World {
     pub(super) now: Ms,
-    pub(super) heap: BinaryHeap<Reverse<(Ms, u64, What)>>,
-    pub(super) order: u64,
+    pub(super) heap: BinaryHeap<Reverse<(Ms, u64, SimEvent)>>,
+    pub(super) sequence: u64,
     pub(super) rng: ChaCha8Rng,
     pub(super) design: Design,
     pub(super) load: Load,
     pub(super) services: [Batch; 3],
-    pub(super) units: Vec<Unit>,
+    pub(super) composers: Vec<Composer>,
     pub(super) targets: Vec<Target>,
     pub(super) requests: HashMap<u64, Request>,
-    /// Request and stage of a piece, and the composer that has it.
+    /// Request, stage and composer of each piece.
     pub(super) pieces: HashMap<PieceId, (u64, usize, usize)>,
     pub(super) made_by: HashMap<PieceId, usize>,
-    pub(super) next: u64,
+    pub(super) next_id: u64,
     pub(super) pending: HashSet<(usize, CallId)>,
     pub(super) lease: Vec<usize>,
-    pub(super) faulty: bool,
-    /// Composers that follow those that are gone.
-    pub(super) followers: HashMap<usize, usize>,
+    pub(super) fault_active: bool,
+    /// Successors of composers whose host has failed.
+    pub(super) successors: HashMap<usize, usize>,
     pub(super) served: RunStats,
 }
 
-/// Plays a day. The same arguments give the same day.
+/// Simulates a run. The same arguments give the same results.
 pub fn simulate(design: Design, load: Load, seed: u64) -> RunStats {
     let mut world = World::new(design, load, seed);
-    world.schedule();
+    world.schedule_arrivals();
     while let Some(Reverse((at, _, what))) = world.heap.pop() {
         world.now = at;
         world.step(what);
@@ -91,71 +92,72 @@
         let mut world = Self {
             now: Ms::ZERO,
             heap: BinaryHeap::new(),
-            order: 0,
+            sequence: 0,
             rng: ChaCha8Rng::seed_from_u64(seed),
             design,
             load,
             services: path::services(),
-            units: Vec::new(),
+            composers: Vec::new(),
             targets: (0..3 * TARGETS).map(|t| Target::new(t / TARGETS)).collect(),
             requests: HashMap::new(),
             pieces: HashMap::new(),
             made_by: HashMap::new(),
-            next: 0,
+            next_id: 0,
             pending: HashSet::new(),
             lease: vec![0; 3 * TARGETS],
-            faulty: false,
-            followers: HashMap::new(),
+            fault_active: false,
+            successors: HashMap::new(),
             served: RunStats::default(),
         };
         for service in 0..3 {
-            world.add_units(service);
+            world.add_composers(service);
         }
         world
     }
 
-    /// The composers of a service, in the order that [`Self::unit`] counts on.
-    pub(super) fn add_units(&mut self, service: usize) {
+    /// Adds the composers of a service, in the order that [`Self::assigned_composer`] relies on.
+    pub(super) fn add_composers(&mut self, service: usize) {
         let first = service * TARGETS;
         let all: Vec<usize> = (first..first + TARGETS).collect();
         match self.design {
             Design::Single => {}
             Design::PerHost | Design::Window => {
                 for _ in 0..self.load.hosts {
-                    self.add_unit(service, &all);
+                    self.add_composer(service, &all);
                 }
             }
             Design::Lease => {
                 for _ in 0..self.load.hosts {
-                    self.add_unit(service, &[]);
+                    self.add_composer(service, &[]);
                 }
             }
             Design::PerTarget => {
                 for target in all {
-                    self.add_unit(service, &[target]);
+                    self.add_composer(service, &[target]);
                 }
             }
-            // The second composes when the first is gone, or beside it.
+            // The second one succeeds the first if that fails, or composes beside it during a
+            // split.
             Design::Composer => {
-                self.add_unit(service, &all);
-                self.add_unit(service, &all);
+                self.add_composer(service, &all);
+                self.add_composer(service, &all);
             }
         }
     }
 
-    pub(super) fn add_unit(&mut self, service: usize, targets: &[usize]) -> usize {
+    pub(super) fn add_composer(&mut self, service: usize, targets: &[usize]) -> usize {
         let allowance = Allowance { ratio: 0.2, slack: 50.0, window: Ms(10_000) };
         let pool = PoolId::from(service.to_string());
         let batcher = Batcher::new(pool, self.services[service].clone(), allowance);
-        let places = targets.to_vec();
-        self.units.push(Unit { service, batcher, wake: Ms::MAX, places, dead: false });
-        let unit = self.units.len() - 1;
-        self.tell_targets(unit, targets);
-        unit
+        let assigned = targets.to_vec();
+        self.composers.push(Composer { service, batcher, wake: Ms::MAX, assigned, dead: false });
+        let composer = self.composers.len() - 1;
+        self.set_targets(composer, targets);
+        composer
     }
 
-    pub(super) fn tell_targets(&mut self, unit: usize, targets: &[usize]) {
-        let places = targets
+    pub(super) fn set_targets(&mut self, composer: usize, targets: &[usize]) {
+        let assigned = targets
             .iter()
             .map(|t| TargetInfo {
                 id: name(*t),
@@ -165,86 +167,90 @@
                 reserved: false,
             })
             .collect();
-        self.feed(unit, Event::Targets(places));
+        self.feed(composer, Event::Targets(assigned));
     }
 
-    pub(super) fn at(&mut self, at: Ms, what: What) {
-        self.order += 1;
-        self.heap.push(Reverse((at, self.order, what)));
+    pub(super) fn schedule(&mut self, at: Ms, what: SimEvent) {
+        self.sequence += 1;
+        self.heap.push(Reverse((at, self.sequence, what)));
     }
 
-    pub(super) fn schedule(&mut self) {
+    pub(super) fn schedule_arrivals(&mut self) {
         let mut at = 0.0;
         loop {
-            at += -(1.0 - self.rng.random::<f64>()).ln() * 1_000.0 / (RATE * self.load.factor);
+            at += -(1.0 - self.rng.random::<f64>()).ln() * 1_000.0 / (BASE_RATE * self.load.factor);
             if Ms(at as u64) >= RUN_LENGTH {
                 break;
             }
             let host = self.rng.random_range(0..self.load.hosts);
-            self.at(Ms(at as u64), What::Arrive(host));
+            self.schedule(Ms(at as u64), SimEvent::Arrive(host));
         }
         if self.load.fault != Fault::None {
-            self.at(FAULT.0, What::Begin);
-            self.at(FAULT.0 + NOTICE.1, What::Notice);
-            self.at(FAULT.1, What::Over);
+            self.schedule(FAULT_PERIOD.0, SimEvent::FaultBegin);
+            self.schedule(FAULT_PERIOD.0 + DETECTION.1, SimEvent::Notice);
+            self.schedule(FAULT_PERIOD.1, SimEvent::FaultEnd);
         }
     }
 
-    pub(super) fn step(&mut self, what: What) {
+    pub(super) fn step(&mut self, what: SimEvent) {
         match what {
-            What::Arrive(host) => self.arrive(host),
-            What::Submit(request, stage) => self.submit(request, stage),
-            What::Wake(unit) if self.units[unit].dead => {}
-            What::Wake(unit) => self.feed(unit, Event::Tick),
-            What::End(target) => self.end(target),
-            What::Timeout(unit, call, target) => self.timeout(unit, call, target),
-            What::Begin => self.begin_fault(),
-            What::Notice => self.notice(),
-            What::Over => self.end_fault(),
+            SimEvent::Arrive(host) => self.arrive(host),
+            SimEvent::Submit(request, stage) => self.submit(request, stage),
+            SimEvent::Wake(composer) if self.composers[composer].dead => {}
+            SimEvent::Wake(composer) => self.feed(composer, Event::Tick),
+            SimEvent::End(target) => self.finish_call(target),
+            SimEvent::Timeout(composer, call, target) => self.timeout(composer, call, target),
+            SimEvent::FaultBegin => self.begin_fault(),
+            SimEvent::Notice => self.notice(),
+            SimEvent::FaultEnd => self.end_fault(),
         }
     }
 
-    pub(super) fn feed(&mut self, unit: usize, event: Event) {
+    pub(super) fn feed(&mut self, composer: usize, event: Event) {
         let mut out = Vec::new();
-        self.units[unit].batcher.reduce(self.now, event, &mut out);
+        self.composers[composer].batcher.reduce(self.now, event, &mut out);
         for effect in out {
             match effect {
                 Effect::Call { call, target, pieces, ids, timeout } => {
                     let target = number(&target);
                     self.served.calls.0 += 1;
                     self.served.calls.1 += ids.len() as u64;
-                    self.pending.insert((unit, call));
-                    self.at(self.now + timeout, What::Timeout(unit, call, target));
-                    if self.targets[target].take(Call { unit, id: call, pieces, ids }).is_some() {
-                        self.answer(unit, call, CallEnd::Full);
+                    self.pending.insert((composer, call));
+                    self.schedule(self.now + timeout, SimEvent::Timeout(composer, call, target));
+                    if self.targets[target]
+                        .enqueue(Call { composer, id: call, pieces, ids })
+                        .is_some()
+                    {
+                        self.answer(composer, call, CallEnd::Full);
                     }
-                    self.turn(target);
+                    self.start_next(target);
                 }
                 Effect::End { piece, end, target } => {
-                    self.ended(piece, &end, target.map(|t| number(&t)));
+                    self.piece_ended(piece, &end, target.map(|t| number(&t)));
                 }
                 Effect::Free { target, handle } => {
                     if let Ok(piece) = handle.parse() {
-                        self.targets[number(&target)].kept.remove(&PieceId(piece));
+                        self.targets[number(&target)].results.remove(&PieceId(piece));
                     }
                 }
             }
         }
-        let wake = self.units[unit].batcher.wake(self.now).unwrap_or(Ms::MAX);
-        let known = self.units[unit].wake;
+        let wake = self.composers[composer].batcher.wake(self.now).unwrap_or(Ms::MAX);
+        let known = self.composers[composer].wake;
         if wake != Ms::MAX && (wake < known || known <= self.now) {
-            self.units[unit].wake = wake;
-            self.at(wake, What::Wake(unit));
+            self.composers[composer].wake = wake;
+            self.schedule(wake, SimEvent::Wake(composer));
         }
     }
 
-    pub(super) fn answer(&mut self, unit: usize, call: CallId, end: CallEnd) {
-        if self.pending.remove(&(unit, call)) {
-            self.feed(unit, Event::Ended(call, end));
+    pub(super) fn answer(&mut self, composer: usize, call: CallId, end: CallEnd) {
+        if self.pending.remove(&(composer, call)) {
+            self.feed(composer, Event::Ended(call, end));
         }
     }
 
-    /// Gives targets that idle to the next hosts in turn that have pieces.
+    /// Passes the leases of idle targets on to the next hosts, round robin, that have queued
+    /// pieces.
     pub(super) fn pass_leases(&mut self, service: usize) {
         if self.design != Design::Lease {
             return;
@@ -253,34 +259,35 @@
         for target in first..first + TARGETS {
             let idle = self.targets[target].running.is_none() && !self.targets[target].lost;
             let own = |h: usize| {
-                let unit = service * hosts + h;
-                self.followers.get(&unit).copied().unwrap_or(unit)
+                let composer = service * hosts + h;
+                self.successors.get(&composer).copied().unwrap_or(composer)
             };
-            let waits = |h: &usize| self.units[own(*h)].batcher.queued() > 0;
+            let waits = |h: &usize| self.composers[own(*h)].batcher.queued() > 0;
             let turns = (1..=hosts).map(|i| (self.lease[target] + i) % hosts);
             let Some(host) = turns.into_iter().find(waits).filter(|_| idle) else { continue };
-            let unit = own(host);
+            let composer = own(host);
             self.lease[target] = host;
-            self.tell_targets(unit, &[target]);
-            self.tell_targets(unit, &[]);
+            self.set_targets(composer, &[target]);
+            self.set_targets(composer, &[]);
         }
     }
 
-    pub(super) fn turn(&mut self, target: usize) {
+    pub(super) fn start_next(&mut self, target: usize) {
         if self.targets[target].running.is_some() || self.targets[target].lost {
             return;
         }
         let Some(call) = self.targets[target].queue.pop_front() else { return };
-        self.read(&call);
+        self.read_inputs(&call);
         let declared = &self.services[self.targets[target].service];
         let took = declared.call_ms + declared.item_ms * call.pieces.len() as f64;
         let took = Ms(took as u64 * self.targets[target].slow);
         self.targets[target].running = Some(call);
-        self.at(self.now + took, What::End(target));
+        self.schedule(self.now + took, SimEvent::End(target));
     }
 
-    /// A call's pieces read their inputs in its turn.
-    pub(super) fn read(&mut self, call: &Call) {
+    /// Marks the inputs of a call's pieces as read when the call starts, and frees the results of a
+    /// stage once all pieces have read them.
+    pub(super) fn read_inputs(&mut self, call: &Call) {
         for id in &call.ids {
             let Some((request, stage, _)) = self.pieces.get(id).copied() else { continue };
             let Some(known) = self.requests.get_mut(&request) else { continue };
@@ -292,7 +299,7 @@
         }
     }
 
-    pub(super) fn end(&mut self, target: usize) {
+    pub(super) fn finish_call(&mut self, target: usize) {
         if self.targets[target].lost {
             return;
         }
@@ -300,21 +307,21 @@
         let room = self.services[self.targets[target].service].room;
         let mut ends = Vec::new();
         for (id, piece) in call.ids.iter().zip(&call.pieces) {
-            let fits = self.targets[target].room(self.now, room) >= piece.bytes;
+            let fits = self.targets[target].free_bytes(self.now, room) >= piece.bytes;
             if fits {
-                self.targets[target].kept.insert(*id, (self.now + KEEP, piece.bytes));
+                self.targets[target].results.insert(*id, (self.now + RESULT_TTL, piece.bytes));
             }
             ends.push(if fits { PieceEnd::Made(id.0.to_string()) } else { PieceEnd::Room });
         }
-        self.answer(call.unit, call.id, CallEnd::Done(ends));
-        self.turn(target);
+        self.answer(call.composer, call.id, CallEnd::Done(ends));
+        self.start_next(target);
         self.pass_leases(self.targets[target].service);
     }
 
-    pub(super) fn timeout(&mut self, unit: usize, call: CallId, target: usize) {
-        if self.pending.contains(&(unit, call)) {
-            self.targets[target].queue.retain(|c| (c.unit, c.id) != (unit, call));
-            self.answer(unit, call, CallEnd::Silent);
+    pub(super) fn timeout(&mut self, composer: usize, call: CallId, target: usize) {
+        if self.pending.contains(&(composer, call)) {
+            self.targets[target].queue.retain(|c| (c.composer, c.id) != (composer, call));
+            self.answer(composer, call, CallEnd::Silent);
         }
     }
 }
--- a/crates/model/src/stages/targets.rs
+++ b/crates/model/src/stages/targets.rs
@@ -1,16 +1,17 @@
-//! Stage targets: one call at a time, a short queue, and room for results.
+//! Simulated stage targets: each runs one call at a time and has a short queue and limited memory
+//! for results.
 
 use base::{Ms, TargetId};
 use sched::batch::{CallId, Piece, PieceId};
 use std::collections::{HashMap, VecDeque};
 
-/// Calls that wait at a target beside the one that runs.
-const QUEUE: usize = 2;
+/// Calls that a target queues besides the running one.
+const QUEUE_CAPACITY: usize = 2;
 
 /// A call at a target.
 pub(super) struct Call {
     /// The composer that sent it.
-    pub(super) unit: usize,
+    pub(super) composer: usize,
     pub(super) id: CallId,
     pub(super) pieces: Vec<Piece>,
     pub(super) ids: Vec<PieceId>,
@@ -22,12 +23,12 @@
     pub(super) service: usize,
     pub(super) queue: VecDeque<Call>,
     pub(super) running: Option<Call>,
-    /// How many times slower than declared.
+    /// Factor by which it is slower than declared.
     pub(super) slow: u64,
-    /// It answers nothing.
+    /// Whether it is lost and answers nothing.
     pub(super) lost: bool,
-    /// Results by piece: until when, and bytes.
-    pub(super) kept: HashMap<PieceId, (Ms, u64)>,
+    /// Stored results by piece, each with its expiry time and size in bytes.
+    pub(super) results: HashMap<PieceId, (Ms, u64)>,
 }
 
 impl Target {
@@ -35,9 +36,9 @@
         Self { service, slow: 1, ..Self::default() }
     }
 
-    /// A call comes in. Given back where there is no place for it.
-    pub(super) fn take(&mut self, call: Call) -> Option<Call> {
-        let full = self.queue.len() >= QUEUE + usize::from(self.running.is_none());
+    /// Queues a call. Returns it if the queue is full.
+    pub(super) fn enqueue(&mut self, call: Call) -> Option<Call> {
+        let full = self.queue.len() >= QUEUE_CAPACITY + usize::from(self.running.is_none());
         match full {
             true => Some(call),
             false => {
@@ -47,19 +48,19 @@
         }
     }
 
-    /// Bytes that are free.
-    pub(super) fn room(&mut self, now: Ms, room: u64) -> u64 {
-        self.kept.retain(|_, (until, _)| *until > now);
-        room.saturating_sub(self.kept.values().map(|(_, bytes)| bytes).sum())
+    /// Free bytes of the `room` that the target has for results; drops expired results.
+    pub(super) fn free_bytes(&mut self, now: Ms, room: u64) -> u64 {
+        self.results.retain(|_, (until, _)| *until > now);
+        room.saturating_sub(self.results.values().map(|(_, bytes)| bytes).sum())
     }
 }
 
-/// Name of a target.
+/// Identifier of the target with this number.
 pub(super) fn name(target: usize) -> TargetId {
     TargetId::from(target.to_string())
 }
 
-/// Number of a target by its name.
+/// Number of the target with this identifier.
 pub(super) fn number(id: &TargetId) -> usize {
     id.as_str().parse().expect("targets are named by their numbers")
 }
--- a/crates/model/src/synth.rs
+++ b/crates/model/src/synth.rs
@@ -1,20 +1,20 @@
-//! Configurations of any size, to measure how a decision's time grows.
+//! Generated configurations of any size, to measure how the time of a decision grows with the size.
 
 use conf::{Fleet, ParseError};
 use serde_json::{Value, json};
 
-/// Sizes of a configuration.
+/// Size of a generated configuration.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 pub struct Size {
-    /// Engines, over four failure domains in each of two regions.
+    /// Number of engines, spread over two regions of four failure domains each.
     pub targets: usize,
-    /// Workspaces.
+    /// Number of workspaces.
     pub workspaces: usize,
-    /// Models, each on every engine, each with a pipeline of its own.
+    /// Number of models; each runs on every engine and has its own pipeline.
     pub models: usize,
 }
 
-/// A configuration of this size.
+/// Generates a configuration of this size.
 pub fn synthetic(size: Size) -> Result<Fleet, ParseError> {
     let domain = |i: usize| format!("domain-{}", i % 8);
     let models: Vec<String> = (0..size.models).map(|i| format!("model-{i}")).collect();
--- a/crates/model/src/world.rs
+++ b/crates/model/src/world.rs
@@ -1,4 +1,5 @@
-//! The run itself: virtual time, entry hosts with their reducers, callers and the journal.
+//! State and event loop of a run: virtual time, entry hosts with their reducers, targets, callers
+//! and the journal.
 
 use base::{Attempt, Ms, RequestId};
 use policy::{Effect, Event, HostContext, Reducer};
@@ -6,44 +7,45 @@
 use rand_chacha::rand_core::SeedableRng;
 use std::collections::{HashMap, HashSet};
 
-use crate::callers::Record;
+use crate::callers::KeyState;
 use crate::job::Job;
 use crate::load::{Call, calls};
-use crate::outcome::{Broken, Tally, WARM};
-use crate::queue::{Agenda, Happening};
+use crate::outcome::{BrokenPromise, Tally, WARMUP};
+use crate::queue::{EventQueue, SimEvent};
 use crate::server::Server;
 use crate::{Line, Model, Outcome, Policy, Script};
 
-/// Virtual time at which a run starts, so that "long ago" exists.
+/// Virtual time at which a run starts; above zero, so that times long before the start can be
+/// expressed.
 pub(crate) const START: Ms = Ms::secs(1_000);
-/// Time between a host's ticks.
-const TICK: Ms = Ms(100);
-/// What is open this long after the last arrival is never answered.
-const TAIL: Ms = Ms::secs(30);
+/// Interval of a host's periodic timer.
+const TICK_INTERVAL: Ms = Ms(100);
+/// How long a run goes on after the last arrival; requests still open then count as unanswered.
+const MAX_DRAIN: Ms = Ms::secs(30);
 
-/// One run.
+/// Parameters of a run.
 #[derive(Clone, Copy, Debug)]
 pub struct Run<'a> {
-    /// What is served.
+    /// The deployment.
     pub model: &'a Model,
-    /// What is sent and what fails.
+    /// Load and faults.
     pub script: &'a Script,
-    /// What the hosts decide by.
+    /// Policy of the hosts.
     pub policy: Policy,
-    /// Seed of arrivals, times and reducers.
+    /// Seed of arrivals, service times and reducers.
     pub seed: u64,
 }
 
-/// Plays a run to its end.
+/// Simulates a run to its end.
 pub fn run(run: Run<'_>) -> Outcome {
     World::new(run).play()
 }
 
 impl Run<'_> {
-    /// Plays the run and keeps what the first host was told, for [`crate::replay`].
+    /// Simulates the run and returns the events that the first host got, for [`crate::replay`].
     pub fn record(self) -> Vec<Line> {
         let mut world = World::new(self);
-        world.log = Some(vec![Line::Placed { placed: world.hosts[0].placed.clone() }]);
+        world.log = Some(vec![Line::Placed { placed: world.hosts[0].context.clone() }]);
         world.drive();
         world.log.unwrap_or_default()
     }
@@ -51,60 +53,60 @@
 
 /// An entry host.
 pub(crate) struct Host {
-    pub placed: HostContext,
+    pub context: HostContext,
     pub reducer: Box<dyn Reducer>,
     /// Index of its failure domain.
     pub domain: usize,
-    /// Targets that it was told are leaving.
+    /// Targets that it knows to be leaving.
     pub leaving: HashSet<usize>,
-    /// When it was told to stop.
+    /// When it began to drain.
     pub drained: Option<Ms>,
-    /// Whether the balancer knows it.
+    /// Whether the load balancer sends to it.
     pub listed: bool,
-    /// The last timer that it asked for.
+    /// When the last timer that it asked for fires.
     wake: Ms,
 }
 
-/// One request at one host.
+/// State of one request at one host.
 #[derive(Debug)]
-pub(crate) struct Open {
+pub(crate) struct OpenRequest {
     pub call: usize,
     pub host: usize,
     pub arrived: Ms,
     pub answered: bool,
-    /// Stages whose result the host has.
+    /// Number of stages whose result the host has.
     pub done: usize,
-    /// Whether a piece of a stream came.
+    /// Whether the first piece of a stream has arrived.
     pub piece: bool,
     /// Tokens of the current stage that the host holds.
     pub held: u32,
-    /// Attempts of a stage that may not be repeated which may have run.
+    /// Attempts of non-repeatable stages that may have run.
     pub exposed: u32,
 }
 
-/// Everything that a run holds.
+/// State of a run.
 pub(crate) struct World<'a> {
     pub model: &'a Model,
     pub script: &'a Script,
     pub now: Ms,
-    pub agenda: Agenda,
+    pub events: EventQueue,
     pub rng: ChaCha8Rng,
     pub hosts: Vec<Host>,
     pub servers: Vec<Server>,
     pub jobs: Vec<Job>,
     pub attempts: HashMap<(RequestId, Attempt), usize>,
-    pub requests: Vec<Open>,
+    pub requests: Vec<OpenRequest>,
     pub calls: Vec<Call>,
     pub tally: Tally,
     /// Failure domains that are cut off.
     pub lost: Vec<bool>,
-    /// Failure domains whose hosts the balancer leaves out.
+    /// Failure domains whose hosts the load balancer avoids.
     pub avoided: Vec<bool>,
     pub seed: u64,
-    /// Times that each call was sent.
+    /// How often each call was sent.
     pub tries: Vec<u32>,
-    pub keys: HashMap<usize, Record>,
-    /// Arrivals that are still to come, and requests that are open.
+    pub keys: HashMap<usize, KeyState>,
+    /// Number of arrivals still to come and of open requests.
     pub pending: usize,
     log: Option<Vec<Line>>,
 }
@@ -114,16 +116,16 @@
         let Run { model, script, policy, seed } = run;
         let mut calls = calls(model, script, seed);
         for call in &mut calls {
-            (call.at, call.due) = (call.at + START, call.due + START);
+            (call.at, call.deadline) = (call.at + START, call.deadline + START);
         }
         let plan = &model.plan;
         let host = |(id, domain): (base::HostId, usize)| {
             let name = model.domains[domain].clone();
             let region = plan.region(&name).expect("every domain has a region").clone();
-            let placed = HostContext { host: id, domain: name, region, seed };
-            let reducer = policy.reducer(placed.clone());
+            let context = HostContext { host: id, domain: name, region, seed };
+            let reducer = policy.reducer(context.clone());
             Host {
-                placed,
+                context,
                 reducer,
                 domain,
                 leaving: HashSet::new(),
@@ -137,7 +139,7 @@
             model,
             script,
             now: START,
-            agenda: Agenda::default(),
+            events: EventQueue::default(),
             rng: ChaCha8Rng::seed_from_u64(!seed),
             hosts: model.hosts().into_iter().map(host).collect(),
             servers: plan.targets.iter().map(server).collect(),
@@ -154,65 +156,65 @@
             keys: HashMap::new(),
             log: None,
         };
-        world.plan_ahead();
+        world.schedule_inputs();
         world
     }
 
-    fn plan_ahead(&mut self) {
+    fn schedule_inputs(&mut self) {
         for host in 0..self.hosts.len() {
             let config = Event::Config(self.model.plan.clone());
-            self.agenda.at(START, Happening::Feed { host, event: config });
+            self.events.schedule(START, SimEvent::Feed { host, event: config });
             let event = Event::Hosts { live: self.model.times.hosts };
-            self.agenda.at(START, Happening::Feed { host, event });
-            self.agenda.at(START + Ms(host as u64), Happening::Tick { host });
+            self.events.schedule(START, SimEvent::Feed { host, event });
+            self.events.schedule(START + Ms(host as u64), SimEvent::Tick { host });
         }
         for (call, sent) in self.calls.iter().enumerate() {
             let at = sent.at + self.model.times.client_ms;
-            self.agenda.at(at, Happening::Arrive { call });
+            self.events.schedule(at, SimEvent::Arrive { call });
         }
         for &(at, change) in &self.script.changes {
-            self.agenda.at(START + at, Happening::Change(change));
+            self.events.schedule(START + at, SimEvent::Change(change));
         }
-        self.agenda.at(START, Happening::Report);
+        self.events.schedule(START, SimEvent::Report);
     }
 
     fn play(mut self) -> Outcome {
         self.drive();
         let open = (0..self.requests.len()).filter(|&i| !self.requests[i].answered);
-        self.tally.broken.extend(open.map(|i| Broken::Unanswered(request_id(i))));
-        self.tally.close(self.model, self.script.length - WARM)
+        self.tally.broken.extend(open.map(|i| BrokenPromise::Unanswered(request_id(i))));
+        self.tally.close(self.model, self.script.length - WARMUP)
     }
 
     fn drive(&mut self) {
-        let end = START + self.script.length + TAIL;
-        while let Some((at, what)) = self.agenda.pop() {
+        let end = START + self.script.length + MAX_DRAIN;
+        while let Some((at, what)) = self.events.pop() {
             if self.pending == 0 || at > end {
                 break;
             }
             self.now = at;
-            self.happen(what);
+            self.handle(what);
         }
     }
 
-    fn happen(&mut self, what: Happening) {
+    fn handle(&mut self, what: SimEvent) {
         match what {
-            Happening::Arrive { call } => self.arrive(call),
-            Happening::Feed { host, event } => self.feed(host, event),
-            Happening::Tell { job, news } => self.tell(job, news),
-            Happening::Reach { job } => self.reach(job),
-            Happening::Step { job } => self.step(job),
-            Happening::Stop { job } => self.stop(job),
-            Happening::Restart { target } => self.restart(target),
-            Happening::Tick { host } => {
+            SimEvent::Arrive { call } => self.arrive(call),
+            SimEvent::Feed { host, event } => self.feed(host, event),
+            SimEvent::Deliver { job, update } => self.deliver(job, update),
+            SimEvent::Reach { job } => self.reach(job),
+            SimEvent::Step { job } => self.step(job),
+            SimEvent::Stop { job } => self.stop(job),
+            SimEvent::Restart { target } => self.restart(target),
+            SimEvent::Tick { host } => {
                 self.feed(host, Event::Tick);
-                self.agenda.at(self.now + TICK, Happening::Tick { host });
+                self.events.schedule(self.now + TICK_INTERVAL, SimEvent::Tick { host });
             }
-            Happening::Report => self.report(),
-            Happening::Change(change) => self.change(change),
+            SimEvent::Report => self.report(),
+            SimEvent::Change(change) => self.change(change),
         }
     }
 
-    /// Tells a host something, and carries out what it asks for.
+    /// Feeds an event to a host's reducer and carries out the effects.
     pub fn feed(&mut self, host: usize, event: Event) {
         if let Event::Leaving { target, leaving } = &event {
             let target = self.model.target(target);
@@ -238,7 +240,7 @@
             Effect::Register { request } => {
                 let event = Event::Registered { request, grant: self.register(request) };
                 let at = self.now + self.model.times.journal_ms;
-                self.agenda.at(at, Happening::Feed { host, event });
+                self.events.schedule(at, SimEvent::Feed { host, event });
             }
             Effect::Send { request, stage, attempt, target, offset, .. } => {
                 let target = self.model.target(&target);
@@ -251,26 +253,26 @@
                 let at = self.now + self.model.times.gossip_ms;
                 for other in (0..self.hosts.len()).filter(|&h| h != host) {
                     let event = Event::Poisoned { fingerprint, until };
-                    self.agenda.at(at, Happening::Feed { host: other, event });
+                    self.events.schedule(at, SimEvent::Feed { host: other, event });
                 }
             }
             Effect::Wake { at } => {
                 let at = at.max(self.now + Ms(1));
                 if self.hosts[host].wake != at && at < Ms::MAX {
                     self.hosts[host].wake = at;
-                    self.agenda.at(at, Happening::Feed { host, event: Event::Tick });
+                    self.events.schedule(at, SimEvent::Feed { host, event: Event::Tick });
                 }
             }
         }
     }
 }
 
-/// The request with this number.
+/// Identifier of the request with this number.
 pub(crate) fn request_id(number: usize) -> RequestId {
     RequestId::from_u128(number as u128)
 }
 
-/// The number of a request.
+/// Number of the request with this identifier.
 pub(crate) fn index(request: RequestId) -> usize {
     request.0.as_u128() as usize
 }
--- a/crates/model/tests/callers.rs
+++ b/crates/model/tests/callers.rs
@@ -1,11 +1,11 @@
-//! What callers get from the full policy, pattern by pattern, in both deployments.
+//! Attainment and other results of the full policy on each pattern, in both deployments.
 
 use model::{Deployment, Group, Outcome, Pattern, Policy, Run, run};
 
 const SEEDS: [u64; 2] = [1, 2];
 
-/// Each deployment's runs of a pattern.
-fn played(pattern: Pattern) -> Vec<(&'static str, Outcome)> {
+/// Runs a pattern with each deployment and seed.
+fn run_pattern(pattern: Pattern) -> Vec<(&'static str, Outcome)> {
     let script = pattern.script();
     let mut out = Vec::new();
     for deployment in Deployment::ALL {
@@ -18,10 +18,10 @@
     out
 }
 
-/// Every run of a pattern attains at least `least`.
-fn attains(pattern: Pattern, least: f64) {
-    for (name, outcome) in played(pattern) {
-        assert!(outcome.attainment >= least, "{name}: {}", outcome.attainment);
+/// Asserts that every run of a pattern has at least this attainment.
+fn assert_attainment(pattern: Pattern, minimum: f64) {
+    for (name, outcome) in run_pattern(pattern) {
+        assert!(outcome.attainment >= minimum, "{name}: {}", outcome.attainment);
     }
 }
 
@@ -31,31 +31,34 @@
 
 #[test]
 fn steady_load_is_answered() {
-    attains(Pattern::Steady, 0.998);
+    assert_attainment(Pattern::Steady, 0.998);
 }
 
-/// For four seconds callers send 2.5 times what can be served. Those for whom there is no room
-/// are refused and come back when told; the others aren't dragged past their deadlines.
+/// For four seconds callers send 2.5 times the capacity. Guards against queues so long that
+/// accepted requests miss their deadlines: the excess must be refused, and its callers retry when
+/// told to.
 #[test]
 fn burst_is_absorbed_or_refused() {
-    attains(Pattern::Burst, 0.9);
+    assert_attainment(Pattern::Burst, 0.9);
 }
 
-/// One workspace sends four times what all others send together, and more than there is room
-/// for. Its own excess is refused; callers of the small workspaces notice nothing.
+/// One workspace sends four times as much as all others together, and more than the capacity.
+/// Guards against refusals of the small workspaces' requests: only the excess of the large one is
+/// refused.
 #[test]
 fn small_workspaces_are_not_starved() {
-    for (name, outcome) in played(Pattern::HotCallers) {
+    for (name, outcome) in run_pattern(Pattern::HotCallers) {
         let small = outcome.small_workspaces();
         assert!(small >= 0.95, "{name}: {small}");
     }
 }
 
-/// Most requests share three prefix keys. Affinity must not pile them up on three engines: the
-/// busiest gets no more than three times its even share, and callers get their answers.
+/// Most requests share three prefix keys. Cache affinity must not concentrate them on three
+/// engines: the busiest gets no more than three times its even share, and callers get their
+/// answers.
 #[test]
 fn hot_keys_spread() {
-    for (name, outcome) in played(Pattern::HotKeys) {
+    for (name, outcome) in run_pattern(Pattern::HotKeys) {
         let engines = outcome.shares.iter().filter(|(t, _)| t.as_str().starts_with("engines"));
         let shares: Vec<f64> = engines.map(|(_, share)| *share).collect();
         let most = shares.iter().copied().fold(0.0, f64::max) * shares.len() as f64;
@@ -64,11 +67,11 @@
     }
 }
 
-/// One engine becomes ten times slower. Requests on it would be late; after some tens of them it
-/// gets little, and callers hardly notice.
+/// One engine becomes ten times slower, so that requests on it are late. After some tens of these
+/// the policy must send it little, so that few callers are affected.
 #[test]
 fn slow_target_gets_little() {
-    for (name, outcome) in played(Pattern::SlowTarget) {
+    for (name, outcome) in run_pattern(Pattern::SlowTarget) {
         let slow = outcome.shares.iter().find(|(t, _)| t.as_str() == "engines-1");
         let share = slow.expect("the engine is there").1;
         assert!(share < 0.06, "{name}: {share}");
@@ -76,105 +79,110 @@
     }
 }
 
-/// Half of all requests ask for the longest answers. No pipeline, long or short, is starved.
+/// Half of all requests ask for the longest answers. Guards against starvation of any pipeline,
+/// long or short.
 #[test]
 fn short_work_does_not_wait_behind_long() {
-    for (name, outcome) in played(Pattern::LongShort) {
+    for (name, outcome) in run_pattern(Pattern::LongShort) {
         let least = lowest(&outcome.pipelines);
         assert!(least >= 0.97, "{name}: {:?}", outcome.pipelines);
     }
 }
 
-/// Callers send 1.5 times what the engines can do. The engines go on at nearly full worth, since
-/// hardly any work is begun that can't be finished; and no workspace is starved.
+/// Callers send 1.5 times the engines' capacity. Goodput must stay near capacity, which needs that
+/// hardly any work is started that can't finish in time, and no workspace may be starved.
 #[test]
 fn saturation_keeps_goodput() {
-    for (name, outcome) in played(Pattern::Saturation) {
+    for (name, outcome) in run_pattern(Pattern::Saturation) {
         assert!(outcome.goodput >= 0.9, "{name}: {}", outcome.goodput);
         assert!(lowest(&outcome.spaces) >= 0.7, "{name}: {:?}", outcome.spaces);
     }
 }
 
-/// A third of the callers can't be served. They are told so when they come, and not when their
-/// deadline is nearly over and they have waited for nothing.
+/// A third of the requests can't be served. They must be refused on arrival, not after a long wait
+/// shortly before their deadline.
 #[test]
 fn saturation_refuses_at_once() {
-    for (name, outcome) in played(Pattern::Saturation) {
+    for (name, outcome) in run_pattern(Pattern::Saturation) {
         assert!(outcome.refusal.p50 <= 100, "{name}: {:?}", outcome.refusal);
     }
 }
 
-/// A failure domain is cut off with a third of everything: what is open there fails after the
-/// bound on silence and is tried elsewhere. When it comes back, callers notice nothing.
+/// A failure domain with a third of all targets is cut off: open attempts there fail after the
+/// silence time-out and are retried elsewhere. Its return with cold targets must not affect
+/// callers.
 #[test]
 fn lost_domain_costs_little() {
-    attains(Pattern::DomainLost, 0.98);
+    assert_attainment(Pattern::DomainLost, 0.98);
 }
 
-/// Load reports are five seconds old: hosts that trusted them would all send to the engine that
-/// was idle then.
+/// Load reports are five seconds old. Hosts that relied on them alone would all send to the engine
+/// that was idle five seconds ago.
 #[test]
-fn stale_reports_do_no_harm() {
-    attains(Pattern::StaleLoad, 0.995);
+fn stale_reports_cost_little() {
+    assert_attainment(Pattern::StaleLoad, 0.995);
 }
 
-/// Three callers send a request that kills its engine, each forty times over. After two engines
-/// it is refused on every host, and the innocent requests beside it are answered elsewhere.
+/// Three callers each send a request that crashes its engine, and re-send it up to forty times.
+/// After two crashes every host must refuse it; other requests on the crashed engines are retried
+/// elsewhere.
 #[test]
 fn poison_is_stopped() {
-    for (name, outcome) in played(Pattern::Poison) {
+    for (name, outcome) in run_pattern(Pattern::Poison) {
         assert!(outcome.crashes <= 16, "{name}: {}", outcome.crashes);
         assert!(outcome.attainment >= 0.97, "{name}: {}", outcome.attainment);
     }
 }
 
-/// One engine stops answering without closing a connection, another is leaving.
+/// One engine stops answering without closing its connections, and another one is leaving.
 #[test]
 fn silent_and_leaving_engines_cost_little() {
-    attains(Pattern::SilentTarget, 0.99);
+    assert_attainment(Pattern::SilentTarget, 0.99);
 }
 
-/// Two engines crash every eight seconds, with all that runs on them. It is tried elsewhere, and
-/// an engine that has just come back isn't trusted with a full load.
+/// Two engines crash every eight seconds and lose all running requests, which are retried
+/// elsewhere. An engine that has just restarted must not get its full load at once.
 #[test]
 fn flapping_engines_cost_little() {
-    attains(Pattern::Flapping, 0.99);
+    assert_attainment(Pattern::Flapping, 0.99);
 }
 
-/// Half of the engines' work fails for twenty seconds. Retries mend it without tripling the
-/// load.
+/// Half of all engine executions fail for twenty seconds. Retries must make up for this with at
+/// most 4.5 attempts per call.
 #[test]
 fn errors_are_retried_within_bounds() {
-    for (name, outcome) in played(Pattern::Errors) {
+    for (name, outcome) in run_pattern(Pattern::Errors) {
         assert!(outcome.attainment >= 0.92, "{name}: {}", outcome.attainment);
         let tries = outcome.attempts as f64 / outcome.calls as f64;
         assert!(tries <= 4.5, "{name}: {tries}");
     }
 }
 
-/// An early stage can't keep up for 25 seconds. Its queue must not eat the later stages' time.
+/// An early stage is too slow for the load for 25 seconds. Its queue must not use up the time that
+/// the later stages need.
 #[test]
 fn slow_stage_is_bounded() {
-    attains(Pattern::SlowStage, 0.95);
+    assert_attainment(Pattern::SlowStage, 0.95);
 }
 
-/// Two at once: a burst while an engine is slow.
+/// Two faults at once: a burst while an engine is slow.
 #[test]
 fn burst_on_a_slow_target() {
-    attains(Pattern::SlowBurst, 0.86);
+    assert_attainment(Pattern::SlowBurst, 0.86);
 }
 
-/// Two at once: a workspace takes 80 % of the load while a failure domain is lost.
+/// Two faults at once: a workspace sends 80 % of the load while a failure domain is lost.
 #[test]
 fn hot_caller_in_a_lost_domain() {
-    for (name, outcome) in played(Pattern::HotLost) {
+    for (name, outcome) in run_pattern(Pattern::HotLost) {
         assert!(outcome.small_workspaces() >= 0.93, "{name}: {:?}", outcome.spaces);
     }
 }
 
-/// Stages stay near: what crosses regions is under half of what the baseline sends.
+/// Stages prefer targets in their own region: traffic between regions is at most half of the
+/// baseline's.
 #[test]
-fn crossings_are_few() {
+fn little_traffic_between_regions() {
     for pattern in [Pattern::Steady, Pattern::DomainLost, Pattern::Saturation] {
         let script = pattern.script();
         for deployment in Deployment::ALL {
--- a/crates/model/tests/differential.rs
+++ b/crates/model/tests/differential.rs
@@ -1,9 +1,9 @@
-//! All decisions against the baseline on the same calls, faults and seeds.
+//! The full policy compared with the baseline on the same calls, faults and seeds.
 
 use model::{Deployment, Outcome, Pattern, Policy, Run, run};
 
-/// How much attainment a pattern may lose against the baseline by chance: a few requests of some
-/// thousands meet other stragglers.
+/// How far a pattern's attainment may fall below the baseline's by chance: the policies meet
+/// different stragglers, which affects a few of some thousands of requests.
 const TOLERANCE: f64 = 0.005;
 const SEEDS: [u64; 2] = [1, 2];
 
@@ -28,23 +28,23 @@
     assert!(worse.is_empty(), "{worse:?}");
 }
 
-fn but_slow_stage() -> impl Iterator<Item = Pattern> {
+fn all_but_slow_stage() -> impl Iterator<Item = Pattern> {
     Pattern::ALL.into_iter().filter(|&p| p != Pattern::SlowStage)
 }
 
 #[test]
 fn attains_no_less_than_naive_cooperative() {
-    compare(Deployment::Cooperative, but_slow_stage());
+    compare(Deployment::Cooperative, all_but_slow_stage());
 }
 
 #[test]
 fn attains_no_less_than_naive_publisher() {
-    compare(Deployment::Publisher, but_slow_stage());
+    compare(Deployment::Publisher, all_but_slow_stage());
 }
 
-/// Retrievers can't keep up, and one failure domain has fewer of them than the others. The
-/// baseline spreads over all domains; a policy that stays near must notice that the near ones are
-/// full while others have room, or callers are refused for nothing.
+/// Retrievers are too slow for the load, and one failure domain has fewer of them than the others.
+/// The baseline spreads requests over all domains. A policy that prefers near targets must notice
+/// that these are full while others have room; otherwise it refuses requests needlessly.
 #[test]
 fn slow_stage_attains_no_less_than_naive() {
     for deployment in Deployment::ALL {
--- a/crates/model/tests/fuzz.rs
+++ b/crates/model/tests/fuzz.rs
@@ -1,4 +1,4 @@
-//! Random loads and faults against the promises that every policy keeps.
+//! Property test: the promises that every policy must keep hold under random loads and faults.
 
 use base::Ms;
 use model::{Change, Deployment, Pattern, Poisoned, Policy, Resend, Run, Script, run};
@@ -13,7 +13,7 @@
         (0..9usize).prop_map(Change::Leaving),
         (0..3usize).prop_map(Change::Lost),
         (0..3usize).prop_map(Change::Back),
-        // Both hosts of the first failure domain stay.
+        // The two hosts of the first failure domain are never drained.
         (2..6usize).prop_map(Change::Drain),
     ]
 }
@@ -33,7 +33,8 @@
         load.sort_by_key(|l| l.0);
         load[0].0 = Ms::ZERO;
         changes.sort_by_key(|c| c.0);
-        // The balancer always has a host to send to.
+        // The first failure domain is never lost, so the load balancer always has a host to send
+        // to.
         let lost = |c: &Change| matches!(c, Change::Lost(0));
         changes.retain(|(_, c)| !lost(c));
         let length = Ms::secs(10);
@@ -56,8 +57,8 @@
         ..ProptestConfig::default()
     })]
 
-    /// Whatever is lost, slow, silent or sent again: each request gets one true answer, nothing
-    /// that may not be repeated is sent twice, and no stream has a gap.
+    /// Whatever is lost, slow, silent or sent again, each request gets exactly one correct answer,
+    /// no non-repeatable stage is sent twice, and no stream has a gap.
     #[test]
     fn promises_hold(script in script(), seed in 0..1_000u64) {
         for deployment in Deployment::ALL {
--- a/crates/model/tests/promises.rs
+++ b/crates/model/tests/promises.rs
@@ -1,11 +1,12 @@
-//! Promises that every policy keeps on every pattern, and that a run is the same each time.
+//! Every policy keeps its promises on every pattern, and runs with the same seed are identical.
 
 use model::{Deployment, Pattern, Policy, Run, run};
 
-/// The caller gets one final answer: whole only after the last stage's result, `ran: no` only
-/// when no stage gave one. The register gets a sign-off once, a leaving target gets nothing, and
-/// a resumed stream goes on from tokens that are held. Every pattern's faults try to break this.
-fn kept(policy: Policy, deployment: Deployment) {
+/// Asserts that each caller gets one final answer: complete only after the last stage's result, and
+/// `ran: no` only if no stage had a result. Non-repeatable stages, such as a sign-off in the
+/// register, are sent once, leaving targets get no work, and a resumed stream continues from tokens
+/// that the host holds. The faults of each pattern put these promises to the test.
+fn assert_promises(policy: Policy, deployment: Deployment) {
     let model = deployment.model().expect("the example is valid");
     for pattern in Pattern::ALL {
         let script = pattern.script();
@@ -16,22 +17,22 @@
 
 #[test]
 fn naive_keeps_promises_cooperative() {
-    kept(Policy::Naive, Deployment::Cooperative);
+    assert_promises(Policy::Naive, Deployment::Cooperative);
 }
 
 #[test]
 fn naive_keeps_promises_publisher() {
-    kept(Policy::Naive, Deployment::Publisher);
+    assert_promises(Policy::Naive, Deployment::Publisher);
 }
 
 #[test]
 fn full_keeps_promises_cooperative() {
-    kept(Policy::Full, Deployment::Cooperative);
+    assert_promises(Policy::Full, Deployment::Cooperative);
 }
 
 #[test]
 fn full_keeps_promises_publisher() {
-    kept(Policy::Full, Deployment::Publisher);
+    assert_promises(Policy::Full, Deployment::Publisher);
 }
 
 #[test]
--- a/crates/model/tests/targets.rs
+++ b/crates/model/tests/targets.rs
@@ -1,4 +1,4 @@
-//! The model itself: what it says of capacity, faults and caches, under the plainest policy.
+//! Checks of the simulation itself: capacity, faults and caches under the baseline policy.
 
 use base::Ms;
 use model::{Change, Deployment, Model, Outcome, Pattern, Policy, Run, Script, run};
@@ -37,7 +37,7 @@
     assert!(outcome.cross_bytes > 0);
 }
 
-/// A slow engine holds what was sent to it past its deadline; the caller sees no answer in time.
+/// Requests sent to a very slow engine miss their deadlines, since the baseline doesn't avoid it.
 #[test]
 fn slow_engine_costs_its_share() {
     let changes = vec![(Ms::ZERO, Change::Slow(0, 100.0))];
@@ -45,10 +45,10 @@
     assert!((0.85..0.95).contains(&outcome.attainment), "{}", outcome.attainment);
 }
 
-/// A silent engine is told from the rest only by the bound on silence: its callers wait for that
-/// and then get their answer elsewhere.
+/// A silent engine is detected only by the silence time-out: its callers wait for that long and
+/// then get their answers from other engines.
 #[test]
-fn silence_is_found_out_and_tried_elsewhere() {
+fn silent_engine_is_detected_and_requests_retried() {
     let changes = vec![(Ms::ZERO, Change::Silent(0))];
     let outcome = naive(&model(), &Script { changes, ..steady(0.3) });
     assert!(outcome.latency.p99 >= 2_000, "{:?}", outcome.latency);
@@ -56,13 +56,13 @@
 }
 
 #[test]
-fn few_keys_hit_the_cache() {
+fn hot_keys_hit_the_cache() {
     let script = Script { hot_keys: Some(3), prefixed: 1.0, ..steady(0.3) };
     assert!(naive(&model(), &script).cached > 0.4);
     assert!(naive(&model(), &steady(0.3)).cached == 0.0);
 }
 
 #[test]
-fn poison_brings_engines_down() {
+fn poison_requests_crash_engines() {
     assert!(naive(&model(), &Pattern::Poison.script()).crashes >= 3);
 }
