--- a/bins/siskinwheel-dev/src/main.rs
+++ b/bins/siskinwheel-dev/src/main.rs
@@ -1,5 +1,6 @@
-//! The whole path in one process on loopback: stand-ins, six entry hosts, one request through
-//! each example pipeline.
+//! Runs a complete local cluster in one process on loopback: a fake platform, fake targets and
+//! six entry hosts. Sends one request through each pipeline of the configuration and prints the
+//! answers.
 
 use anyhow::{Context, Result, bail};
 use base::Key;
@@ -11,14 +12,15 @@
 use tracing_subscriber::EnvFilter;
 use wire::Answer;
 
-const EXAMPLE: &str = include_str!("../../../examples/cooperative.yaml");
+const EXAMPLE_CONFIG: &str = include_str!("../../../examples/cooperative.yaml");
 
 const HELP: &str = "\
 Usage: siskinwheel-dev [--once] [--config FILE]
 
-Starts the stand-ins and six entry hosts on loopback, applies the configuration (default: the
-cooperative's example), sends one request through each pipeline and prints the answers, stage
-times and cost by stage. Without --once it stays up and prints a curl line to use.";
+Starts a fake platform, fake targets and six entry hosts on loopback, applies the configuration
+(default: examples/cooperative.yaml), sends one request through each pipeline and prints the
+answers with the times and cost of each stage. Without --once it keeps running and prints a curl
+command to send more requests.";
 
 fn main() -> ExitCode {
     match run() {
@@ -46,20 +48,23 @@
     tracing_subscriber::fmt().with_writer(std::io::stderr).with_env_filter(filter).init();
     let yaml = match &path {
         Some(path) => std::fs::read_to_string(path).with_context(|| format!("reading {path}"))?,
-        None => EXAMPLE.to_owned(),
+        None => EXAMPLE_CONFIG.to_owned(),
     };
     let fleet = Fleet::parse(&yaml)?;
-    tokio::runtime::Runtime::new().context("starting the runtime")?.block_on(show(fleet, once))
+    tokio::runtime::Runtime::new()
+        .context("starting the runtime")?
+        .block_on(run_cluster(fleet, once))
 }
 
-async fn show(fleet: Fleet, once: bool) -> Result<ExitCode> {
+async fn run_cluster(fleet: Fleet, once: bool) -> Result<ExitCode> {
     let workspace = fleet.workspaces[0].name.clone();
     let cluster = Cluster::start(fleet, Options::default()).await?;
     println!("{} hosts ready at generation 1\n", cluster.hosts.len());
     for (i, pipeline) in cluster.fleet.pipelines.iter().enumerate() {
         let pipeline = pipeline.name.as_str();
-        let answer = ask(&cluster, i % cluster.hosts.len(), pipeline, workspace.as_str()).await?;
-        println!("{pipeline}\n  answer: {}", shorten(&answer.output));
+        let answer =
+            send_request(&cluster, i % cluster.hosts.len(), pipeline, workspace.as_str()).await?;
+        println!("{pipeline}\n  answer: {}", truncate(&answer.output));
         for stage in &answer.stages {
             println!(
                 "  {:<10} on {:<20} waited {:>4} ms, ran {:>5} ms, cost {:.4}",
@@ -71,15 +76,15 @@
         println!(
             "
 {}",
-            curl(&cluster, workspace.as_str())
+            curl_command(&cluster, workspace.as_str())
         );
         println!(
             "
-For siskinwheel's commands:
+Flags for the siskinwheel commands:
 {}
 
-Ctrl-C stops.",
-            addresses(&cluster)
+Press Ctrl-C to stop.",
+            address_flags(&cluster)
         );
         tokio::signal::ctrl_c().await.context("waiting for Ctrl-C")?;
     }
@@ -87,7 +92,12 @@
     Ok(ExitCode::SUCCESS)
 }
 
-async fn ask(cluster: &Cluster, host: usize, pipeline: &str, workspace: &str) -> Result<Answer> {
+async fn send_request(
+    cluster: &Cluster,
+    host: usize,
+    pipeline: &str,
+    workspace: &str,
+) -> Result<Answer> {
     let key = Key::fresh().to_string();
     let headers = [("idempotency-key", key.as_str())];
     let input = format!("an example for {pipeline}");
@@ -99,7 +109,7 @@
     Ok(serde_json::from_slice(response.body())?)
 }
 
-fn curl(cluster: &Cluster, workspace: &str) -> String {
+fn curl_command(cluster: &Cluster, workspace: &str) -> String {
     format!(
         "curl -N -H 'X-Workspace: {workspace}' -H 'Accept: text/event-stream' \\\n  \
          -d '{{\"input\": \"grey cabinet, rust at the hinges\"}}' \\\n  \
@@ -109,8 +119,8 @@
     )
 }
 
-/// Where operators connect: the platform, and each host's admin endpoint.
-fn addresses(cluster: &Cluster) -> String {
+/// Flags that point the operator's commands at the platform and at each host's admin endpoint.
+fn address_flags(cluster: &Cluster) -> String {
     let mut out = format!("--platform {}", cluster.platform.addr());
     for host in &cluster.hosts {
         out.push_str(&format!("\n--host {}", host.admin()));
@@ -118,7 +128,7 @@
     out
 }
 
-fn shorten(text: &str) -> String {
+fn truncate(text: &str) -> String {
     match text.char_indices().nth(60) {
         Some((at, _)) => format!("{}... ({} bytes)", &text[..at], text.len()),
         None => text.to_owned(),
--- a/bins/siskinwheel-fakes/src/main.rs
+++ b/bins/siskinwheel-fakes/src/main.rs
@@ -1,4 +1,5 @@
-//! Stand-ins for tests and trials: `siskinwheel-fakes platform|target ...`.
+//! Runs a fake platform or a fake target for tests and experiments:
+//! `siskinwheel-fakes platform|target ...`.
 
 use anyhow::{Context, Result, bail};
 use fakes::{Platform, Target, TargetConfig};
@@ -11,8 +12,8 @@
        siskinwheel-fakes target --listen ADDR --name NAME [--engine] [--slots N]
                          [--call-ms N] [--token-ms N] [--models A,B] [--checks-fence]
 
-Runs one stand-in until it is killed, and prints `listening ADDR` when it is ready.
-Faults are set by POST /faults (JSON), counts read by GET /stats (target: /v1/stats).";
+Runs one fake server until it is killed, and prints `listening ADDR` when it is ready.
+POST /faults (JSON) sets the faults to inject; GET /stats (target: /v1/stats) returns its counters.";
 
 fn main() -> ExitCode {
     match run() {
@@ -30,11 +31,11 @@
         println!("{HELP}");
         return Ok(ExitCode::SUCCESS);
     }
-    let what = args.subcommand()?;
+    let command = args.subcommand()?;
     let runtime = tokio::runtime::Runtime::new().context("starting the runtime")?;
-    match what.as_deref() {
-        Some("platform") => runtime.block_on(platform(args)),
-        Some("target") => runtime.block_on(target(args)),
+    match command.as_deref() {
+        Some("platform") => runtime.block_on(run_platform(args)),
+        Some("target") => runtime.block_on(run_target(args)),
         _ => {
             eprintln!("{HELP}");
             Ok(ExitCode::from(2))
@@ -42,15 +43,15 @@
     }
 }
 
-async fn platform(mut args: Arguments) -> Result<ExitCode> {
+async fn run_platform(mut args: Arguments) -> Result<ExitCode> {
     let addr: SocketAddr = args.value_from_str("--listen")?;
-    finish(args)?;
-    let platform = Platform::start(addr).await.context("starting the platform")?;
+    reject_unknown(args)?;
+    let platform = Platform::start(addr).await.context("starting the fake platform")?;
     println!("listening {}", platform.addr());
     std::future::pending().await
 }
 
-async fn target(mut args: Arguments) -> Result<ExitCode> {
+async fn run_target(mut args: Arguments) -> Result<ExitCode> {
     let models: Option<String> = args.opt_value_from_str("--models")?;
     let config = TargetConfig {
         addr: args.value_from_str("--listen")?,
@@ -62,13 +63,13 @@
         models: models.iter().flat_map(|m| m.split(',')).map(str::to_owned).collect(),
         checks_fence: args.contains("--checks-fence"),
     };
-    finish(args)?;
-    let target = Target::start(config).await.context("starting the target")?;
+    reject_unknown(args)?;
+    let target = Target::start(config).await.context("starting the fake target")?;
     println!("listening {}", target.addr());
     std::future::pending().await
 }
 
-fn finish(args: Arguments) -> Result<()> {
+fn reject_unknown(args: Arguments) -> Result<()> {
     match args.finish().as_slice() {
         [] => Ok(()),
         rest => bail!("unknown arguments {rest:?}; see --help"),
--- a/bins/siskinwheel-fakes/tests/usage.rs
+++ b/bins/siskinwheel-fakes/tests/usage.rs
@@ -1,12 +1,12 @@
-//! The program explains itself, and refuses what it doesn't know.
+//! `--help` prints the usage, and wrong usage exits with code 2.
 
 use std::process::Command;
 
 #[test]
-fn help_and_wrong_usage() {
+fn help_succeeds_and_wrong_usage_fails() {
     let run = |args: &[&str]| {
         let program = env!("CARGO_BIN_EXE_siskinwheel-fakes");
-        Command::new(program).args(args).output().expect("it runs")
+        Command::new(program).args(args).output().expect("siskinwheel-fakes runs")
     };
     let help = run(&["--help"]);
     assert!(help.status.success());
--- a/tools/wiregen/src/main.rs
+++ b/tools/wiregen/src/main.rs
@@ -1,7 +1,8 @@
-//! Generates the border types of crate `wire` from its proto file.
+//! Generates the message types of crate `wire` from its proto file.
 //!
-//! `cargo run -p wiregen -- OUT_DIR` writes one file there. The result is committed, so that the
-//! build needs no generator; CI runs this again and compares.
+//! `cargo run -p wiregen -- OUT_DIR` writes one file into `OUT_DIR`, by default `src/gen` of the
+//! crate. The generated file is committed, so that a build of the workspace needs no code
+//! generator; CI generates it again and compares.
 
 use anyhow::{Context, Result};
 use std::path::PathBuf;
@@ -20,13 +21,14 @@
 fn run() -> Result<()> {
     let crate_dir = PathBuf::from(env!("CARGO_MANIFEST_DIR")).join("../../crates/wire");
     let out = std::env::args().nth(1).map_or_else(|| crate_dir.join("src/gen"), PathBuf::from);
-    std::fs::create_dir_all(&out).with_context(|| format!("making {}", out.display()))?;
+    std::fs::create_dir_all(&out).with_context(|| format!("creating {}", out.display()))?;
     let proto = crate_dir.join("proto");
-    let files = protox::compile(["siskinwheel.proto"], [&proto]).context("compiling the proto")?;
+    let files =
+        protox::compile(["siskinwheel.proto"], [&proto]).context("compiling siskinwheel.proto")?;
     prost_build::Config::new()
         .out_dir(&out)
         .type_attribute(".", "#[derive(serde::Serialize, serde::Deserialize)]")
         .message_attribute(".", "#[serde(default)]")
         .compile_fds(files)
-        .context("generating")
+        .context("generating the Rust code")
 }
