--- a/bins/siskinwheel-bench/src/capacity.rs
+++ b/bins/siskinwheel-bench/src/capacity.rs
@@ -1,4 +1,5 @@
-//! `capacity`: slopes, each from four sizes or more, that the full size is worked out from.
+//! `siskinwheel-bench capacity`: measures how resource use grows with size, at four sizes or more
+//! each, and extrapolates to the full size of the deployment.
 
 use anyhow::{Context, Result};
 use base::{Generation, Ms};
@@ -13,40 +14,42 @@
 use std::sync::Arc;
 use std::time::Instant;
 
-use crate::process::{cpu, resident};
+use crate::process::{cpu_seconds, resident_mb};
 use crate::report::{Output, Table};
 use crate::stats::Fit;
-use crate::{decide, finish, fleet, journal};
+use crate::{decide, fleet, journal, reject_unknown};
 
 pub const HELP: &str = "\
 Usage: siskinwheel-bench capacity [--json]
 
-Measures slopes at four sizes or more, each with its fit and residual: processor time of a request
-by stages and of a streamed token, memory of an open request and of the configuration, time of a
-decision, control between hosts, and the journal's writes. Processor times are of host, stand-in
-and caller together, so they bound the host's from above.";
+Measures how resource use grows, each slope from four sizes or more, with its fit and residual:
+processor time of a request by number of stages and of a streamed token, memory of an open request
+and of the configuration, time of a decision, control traffic between hosts (gossip and
+configuration) with its processor time and memory, and the journal's writes. Processor times of
+requests are those of the host, the fake target and the caller together, so they are an upper bound
+for the host.";
 
-/// Bound on silence of a call.
-const SILENCE: Ms = Ms::secs(60);
-/// Answers larger than this fail the run, bytes.
-const ANSWER_BYTES: usize = 8 << 20;
+/// A call fails after this long without data.
+const SILENCE_TIMEOUT: Ms = Ms::secs(60);
+/// An answer larger than this fails the run.
+const MAX_ANSWER_BYTES: usize = 8 << 20;
 
-/// Configurations that are held at each size to measure the memory of one.
-const PLANS: u64 = 40;
+/// Configurations held in memory at each size; the memory of one is their mean.
+const PLANS_PER_SIZE: u64 = 40;
 
-/// A quantity measured at several sizes.
+/// A quantity measured at several sizes, as pairs of size and value.
 struct Slope {
     what: &'static str,
     unit: &'static str,
     per: &'static str,
     points: Vec<(f64, f64)>,
-    /// The size that the deployment will have.
+    /// Size in the full deployment.
     full: f64,
 }
 
 /// Runs the command.
 pub fn run(args: Arguments, output: &Output) -> Result<()> {
-    finish(args)?;
+    reject_unknown(args)?;
     let bar = ProgressBar::new(7).with_message("slopes");
     let mut slopes = Vec::new();
     let mut add = |more: Vec<Slope>| {
@@ -64,7 +67,7 @@
     let rows = slopes.iter().map(|s| {
         let fit = Fit::of(&s.points);
         let sizes: Vec<_> = s.points.iter().map(|(x, y)| format!("{x}: {y:.3}")).collect();
-        let most = s.points.iter().map(|p| p.0).fold(0.0, f64::max);
+        let max_size = s.points.iter().map(|p| p.0).fold(0.0, f64::max);
         vec![
             s.what.to_owned(),
             s.unit.to_owned(),
@@ -73,7 +76,7 @@
             format!("{:.3}", fit.base),
             format!("{:.0} %", fit.residual * 100.0),
             format!("{:.3} at {}", fit.at(s.full), s.full),
-            if s.full > most { "extrapolated" } else { "measured range" }.to_owned(),
+            if s.full > max_size { "extrapolated" } else { "measured range" }.to_owned(),
         ]
     });
     let columns = ["what", "unit", "sizes", "slope", "at zero", "residual", "full size", "how"];
@@ -102,16 +105,17 @@
 
 fn configuration() -> Result<Slope> {
     let mut points = Vec::new();
-    // Kept over all sizes: what a smaller one gave back would hide what the next one takes.
+    // Plans of all sizes are kept: memory freed by a smaller size would be reused by the next one and
+    // be missing from its difference.
     let mut kept = Vec::new();
     for workspaces in [225, 450, 675, 900] {
         let fleet = synthetic(Size { targets: 600, workspaces, models: 15 })?;
-        let before = resident()?;
-        for i in 0..PLANS {
+        let before = resident_mb()?;
+        for i in 0..PLANS_PER_SIZE {
             let plan = Plan::new(Generation(i), fleet.clone());
-            kept.push(plan.context("checking the configuration")?);
+            kept.push(plan.context("validating the configuration")?);
         }
-        points.push((workspaces as f64, (resident()? - before) / PLANS as f64));
+        points.push((workspaces as f64, (resident_mb()? - before) / PLANS_PER_SIZE as f64));
     }
     let what = "configuration in memory, 600 targets";
     Ok(Slope { what, unit: "MB", per: "workspace", points, full: 900.0 })
@@ -120,7 +124,7 @@
 fn decisions() -> Result<Vec<Slope>> {
     let (mut arrive, mut any) = (Vec::new(), Vec::new());
     for targets in [75, 150, 300, 600] {
-        let (one, all) = decide::times(Size { targets, workspaces: 900, models: 15 })?;
+        let (one, all) = decide::decision_times_us(Size { targets, workspaces: 900, models: 15 })?;
         arrive.push((targets as f64, one));
         any.push((targets as f64, all));
     }
@@ -146,9 +150,9 @@
     let mut points = Vec::new();
     for stages in [1, 2, 4, 6] {
         let used = with_host(stages, 16, 0, |host| async move {
-            let start = cpu()?;
-            calls(host, 4_000, 16).await?;
-            Ok((cpu()? - start) / 4_000.0 * 1e6)
+            let start = cpu_seconds()?;
+            send_requests(host, 4_000, 16).await?;
+            Ok((cpu_seconds()? - start) / 4_000.0 * 1e6)
         })?;
         points.push((stages as f64, used));
     }
@@ -160,9 +164,9 @@
     let mut points = Vec::new();
     for tokens in [50, 100, 200, 400] {
         let used = with_host(0, tokens, 0, |host| async move {
-            let start = cpu()?;
-            calls(host, 400, 16).await?;
-            Ok((cpu()? - start) / 400.0 * 1e6)
+            let start = cpu_seconds()?;
+            send_requests(host, 400, 16).await?;
+            Ok((cpu_seconds()? - start) / 400.0 * 1e6)
         })?;
         points.push((tokens as f64, used));
     }
@@ -174,10 +178,10 @@
     let mut points = Vec::new();
     for open in [50, 100, 200, 400] {
         let used = with_host(1, 16, 3_000, move |host| async move {
-            let before = resident()?;
-            let load = tokio::spawn(calls(host, open, open));
+            let before = resident_mb()?;
+            let load = tokio::spawn(send_requests(host, open, open));
             tokio::time::sleep(Ms(1_500).duration()).await;
-            let used = resident()? - before;
+            let used = resident_mb()? - before;
             load.await??;
             Ok(used)
         })?;
@@ -187,8 +191,8 @@
     Ok(Slope { what, unit: "MB", per: "request", points, full: 140.0 })
 }
 
-/// Runs `work` against one host with a pipeline of `stages` plain stages, or with none of one
-/// engine that streams `tokens` tokens.
+/// Runs `work` against one host with a pipeline of `stages` plain stages or, if `stages` is zero, of
+/// one engine stage that streams `tokens` tokens.
 fn with_host<F, Fut>(stages: usize, tokens: u32, call_ms: u64, work: F) -> Result<f64>
 where
     F: FnOnce(std::net::SocketAddr) -> Fut,
@@ -226,11 +230,11 @@
     })
 }
 
-/// `requests` requests, `at_once` of them open at a time.
-async fn calls(host: std::net::SocketAddr, requests: usize, at_once: usize) -> Result<()> {
+/// Sends `requests` requests, at most `at_once` of them in flight at a time.
+async fn send_requests(host: std::net::SocketAddr, requests: usize, at_once: usize) -> Result<()> {
     let pool = Arc::new(Pool::new(
         host,
-        PoolConfig { idle: at_once, connect_ms: SILENCE, ..PoolConfig::default() },
+        PoolConfig { idle: at_once, connect_ms: SILENCE_TIMEOUT, ..PoolConfig::default() },
     ));
     let asking = Asking { pipeline: "p", workspace: "w", input: "x", headers: &[] };
     let request: Request<Bytes> = asking.request();
@@ -238,11 +242,11 @@
     let start = Instant::now();
     for _ in 0..requests {
         if open.len() >= at_once {
-            open.join_next().await.context("a request is open")???;
+            open.join_next().await.context("no request in flight")???;
         }
         let (pool, request) = (pool.clone(), request.clone());
         open.spawn(async move {
-            let response = link::call(&pool, request, SILENCE, ANSWER_BYTES).await?;
+            let response = link::call(&pool, request, SILENCE_TIMEOUT, MAX_ANSWER_BYTES).await?;
             let text = || String::from_utf8_lossy(response.body()).into_owned();
             anyhow::ensure!(response.status() == StatusCode::OK, "refused: {}", text());
             anyhow::Ok(())
@@ -251,6 +255,9 @@
     while let Some(ended) = open.join_next().await {
         ended??;
     }
-    anyhow::ensure!(start.elapsed() < SILENCE.duration() * 4, "the machine is too busy");
+    anyhow::ensure!(
+        start.elapsed() < SILENCE_TIMEOUT.duration() * 4,
+        "the requests took 240 s or longer; the machine is too busy"
+    );
     Ok(())
 }
--- a/bins/siskinwheel-bench/src/cold.rs
+++ b/bins/siskinwheel-bench/src/cold.rs
@@ -1,26 +1,28 @@
-//! `siskinwheel-bench cold`: how hosts keep together to what a cold target stands, by design.
+//! `siskinwheel-bench cold`: compares designs by which all hosts together keep their load on a cold
+//! target within what the target can handle.
 
 use anyhow::Result;
 use model::cold::{Cut, Design, Figures, Play, play};
 use pico_args::Arguments;
 
-use crate::finish;
+use crate::reject_unknown;
 use crate::report::{Output, Table};
 use crate::stats::Spread;
 
 pub const HELP: &str = "\
 Usage: siskinwheel-bench cold [--seeds N] [--rate R] [--json]
 
-Plays a failure domain of ten targets that comes back cold into a burst, in virtual time, for fleets
-of 6, 79, 300 and 1,000 hosts, whole and cut, and prints what reaches a target, by design.
+Simulates, in virtual time, a failure domain of ten targets that comes back cold during a burst, for
+fleets of 6, 79, 300 and 1,000 hosts, connected and partitioned, and prints the load that reaches a
+target, by design.
 
   --seeds N  repeats, default 8
-  --rate R   requests a second that would go to each target, default 20";
+  --rate R   requests per second offered to each target, default 20";
 
-/// What a cold target stands in a second.
-const LIMIT: f64 = 18.95;
-/// Largest difference between two hosts' clocks, ms.
-const SKEW: u64 = 2_400;
+/// Requests per second that a cold target can handle.
+const COLD_LIMIT: f64 = 18.95;
+/// Largest difference between the clocks of two hosts.
+const CLOCK_SKEW_MS: u64 = 2_400;
 
 const DESIGNS: [(Design, &str); 5] = [
     (Design::Free, "free"),
@@ -30,7 +32,7 @@
     (Design::Shares, "shares in the domain"),
 ];
 
-const CUTS: [(Cut, &str); 3] =
+const PARTITIONS: [(Cut, &str); 3] =
     [(Cut::None, "none"), (Cut::Halves, "halves"), (Cut::Alone, "each alone")];
 
 const COLUMNS: [&str; 7] =
@@ -40,28 +42,28 @@
 pub fn run(mut args: Arguments, output: &Output) -> Result<()> {
     let seeds: u64 = args.opt_value_from_str("--seeds")?.unwrap_or(8);
     let rate: f64 = args.opt_value_from_str("--rate")?.unwrap_or(20.0);
-    finish(args)?;
+    reject_unknown(args)?;
     let mut rows = Vec::new();
     for (design, name) in DESIGNS {
         for hosts in [6, 79, 300, 1_000] {
-            for (cut, cut_name) in CUTS {
-                let world = Play { hosts, rate, limit: LIMIT, cut, skew: SKEW };
-                let played: Vec<Figures> =
-                    (1..=seeds).map(|seed| play(design, world, seed)).collect();
-                rows.push(row(name, hosts, cut_name, &played));
+            for (cut, cut_name) in PARTITIONS {
+                let scenario = Play { hosts, rate, limit: COLD_LIMIT, cut, skew: CLOCK_SKEW_MS };
+                let results: Vec<Figures> =
+                    (1..=seeds).map(|seed| play(design, scenario, seed)).collect();
+                rows.push(row(name, hosts, cut_name, &results));
             }
         }
     }
     let title = format!(
-        "a cold target stands {LIMIT} requests a second, and {rate} would go to it; {seeds} seeds"
+        "Cold target that can handle {COLD_LIMIT} requests/s and is offered {rate}; {seeds} seeds"
     );
     output.tables(&[Table { title, columns: COLUMNS.map(str::to_owned).to_vec(), rows }])
 }
 
-fn row(name: &str, hosts: usize, cut: &str, played: &[Figures]) -> Vec<String> {
-    let worst = played.iter().map(|f| f.worst).max().unwrap_or(0);
+fn row(name: &str, hosts: usize, cut: &str, results: &[Figures]) -> Vec<String> {
+    let worst = results.iter().map(|f| f.worst).max().unwrap_or(0);
     let spread =
-        |of: fn(&Figures) -> f64| Spread::of(&played.iter().map(of).collect::<Vec<f64>>()).show(1);
+        |of: fn(&Figures) -> f64| Spread::of(&results.iter().map(of).collect::<Vec<f64>>()).show(1);
     vec![
         name.to_owned(),
         hosts.to_string(),
--- a/bins/siskinwheel-bench/src/decide.rs
+++ b/bins/siskinwheel-bench/src/decide.rs
@@ -1,4 +1,4 @@
-//! How long one decision takes, and how that grows with the size of the configuration.
+//! Measures how long one decision takes and how that grows with the size of the configuration.
 
 use anyhow::{Context, Result};
 use base::{
@@ -14,42 +14,43 @@
 use crate::report::{Axes, Output, Series, Table};
 use crate::stats::{Fit, Spread};
 
-/// Sizes at which it is measured; each grows alone while the others stay at the last.
+/// Sizes at which decisions are timed. One of the three grows at a time, while the other two stay at
+/// their largest value.
 const TARGETS: [usize; 5] = [38, 75, 150, 300, 600];
 const WORKSPACES: [usize; 5] = [56, 112, 225, 450, 900];
 const MODELS: [usize; 5] = [1, 3, 7, 11, 15];
-const FULL: Size = Size { targets: 600, workspaces: 900, models: 15 };
-/// Requests played at each size, and the share before measuring starts.
+const FULL_SIZE: Size = Size { targets: 600, workspaces: 900, models: 15 };
+/// Requests at each size, and how many of them come before measuring starts.
 const REQUESTS: usize = 6_000;
-const WARM: usize = 1_000;
-/// Requests that are open at once.
-const OPEN: usize = 64;
+const WARMUP_REQUESTS: usize = 1_000;
+/// Most requests in flight at once.
+const MAX_IN_FLIGHT: usize = 64;
 const REPEATS: u64 = 5;
 
-/// Kinds of events that are told apart.
-const KINDS: [&str; 5] = ["arrive", "done", "load", "tick", "others"];
+/// Kinds of events that are reported separately.
+const EVENT_KINDS: [&str; 5] = ["arrive", "done", "load", "tick", "others"];
 
-/// Times of one run, ns.
+/// Event times of one run, in ns.
 struct Times {
     median: f64,
-    tail: f64,
-    /// Median of each kind.
-    kinds: [f64; KINDS.len()],
+    p99: f64,
+    /// Median of each kind of event.
+    kinds: [f64; EVENT_KINDS.len()],
 }
 
-/// Measures and prints.
+/// Measures all sizes, prints the table and writes the plot.
 pub fn run(output: &Output) -> Result<()> {
-    let grow = [
-        ("targets", TARGETS.map(|targets| (targets, Size { targets, ..FULL }))),
-        ("workspaces", WORKSPACES.map(|workspaces| (workspaces, Size { workspaces, ..FULL }))),
-        ("models", MODELS.map(|models| (models, Size { models, ..FULL }))),
+    let dimensions = [
+        ("targets", TARGETS.map(|targets| (targets, Size { targets, ..FULL_SIZE }))),
+        ("workspaces", WORKSPACES.map(|workspaces| (workspaces, Size { workspaces, ..FULL_SIZE }))),
+        ("models", MODELS.map(|models| (models, Size { models, ..FULL_SIZE }))),
     ];
     let columns = ["what grows", "size", "median ns per event", "p99 ns"];
-    let kinds = KINDS.map(|kind| format!("median ns, {kind}"));
+    let kinds = EVENT_KINDS.map(|kind| format!("median ns, {kind}"));
     let columns: Vec<String> = columns.map(str::to_owned).into_iter().chain(kinds).collect();
     let columns = [columns, vec!["growth per unit, ns".to_owned()]].concat();
     let (mut rows, mut lines) = (Vec::new(), Vec::new());
-    for (name, sizes) in grow {
+    for (name, sizes) in dimensions {
         let mut points = Vec::new();
         let first = rows.len();
         for (at, size) in sizes {
@@ -60,22 +61,22 @@
             let median = spread(&|t| t.median);
             points.push((at as f64, median.median));
             let mut row = vec![name.to_owned(), at.to_string(), median.show(0)];
-            row.push(spread(&|t| t.tail).show(0));
-            row.extend((0..KINDS.len()).map(|k| spread(&|t| t.kinds[k]).show(0)));
+            row.push(spread(&|t| t.p99).show(0));
+            row.extend((0..EVENT_KINDS.len()).map(|k| spread(&|t| t.kinds[k]).show(0)));
             rows.push(row);
         }
         let fit = Fit::of(&points);
         let text = format!("{:.2} (residual {:.0} %)", fit.slope, fit.residual * 100.0);
         rows[first..].iter_mut().for_each(|row| row.push(text.clone()));
-        // Each in its share of the full size, so that the three fit one plot.
-        let most = points.last().map_or(1.0, |p| p.0);
-        let points = points.iter().map(|(x, y)| (x / most * 100.0, *y)).collect();
+        // Sizes are shown as a share of the full size, so that all three lines fit one plot.
+        let max = points.last().map_or(1.0, |p| p.0);
+        let points = points.iter().map(|(x, y)| (x / max * 100.0, *y)).collect();
         lines.push(Series { name: name.to_owned(), points });
     }
     let title = format!(
-        "Time of one reduce, full policy, {} requests a run, {REPEATS} repeats; the rest at \
+        "Time of one reduce, full policy, {} requests a run, {REPEATS} repeats; the other sizes at \
          600 targets, 900 workspaces, 15 models",
-        REQUESTS - WARM
+        REQUESTS - WARMUP_REQUESTS
     );
     output.tables(&[Table { title, columns, rows }])?;
     let axes = Axes {
@@ -86,14 +87,14 @@
     output.plot(&axes, &lines)
 }
 
-/// A reducer under a steady stream of requests whose stages are done in their order.
+/// A reducer under a steady stream of requests whose stages complete in the order they were sent.
 struct Bench {
     reducer: Box<dyn Reducer>,
     now: Ms,
     sent: VecDeque<(RequestId, usize, Attempt)>,
-    /// Time of each event once it is warm, ns, by kind.
-    times: [Vec<f64>; KINDS.len()],
-    warm: bool,
+    /// Time of each event after the warm-up, in ns, by kind.
+    times: [Vec<f64>; EVENT_KINDS.len()],
+    measuring: bool,
 }
 
 impl Bench {
@@ -103,7 +104,7 @@
         let start = Instant::now();
         self.reducer.reduce(self.now, event, &mut effects);
         let took = start.elapsed().as_nanos() as f64;
-        if self.warm {
+        if self.measuring {
             self.times[kind].push(took);
         }
         for effect in effects {
@@ -114,7 +115,7 @@
         }
     }
 
-    fn done(&mut self) {
+    fn complete_oldest(&mut self) {
         let Some((request, stage, attempt)) = self.sent.pop_front() else { return };
         self.feed(Event::Piece { request, stage, attempt, offset: 32 });
         let usage = Usage { tokens_in: 600, tokens_out: 64, cached: 0, bytes: 4_096 };
@@ -123,7 +124,7 @@
 }
 
 fn measure(size: Size, seed: u64) -> Result<Times> {
-    let fleet = synthetic(size).context("making a configuration")?;
+    let fleet = synthetic(size).context("generating the configuration")?;
     let plan = Plan::new(Generation(1), fleet).context("checking the configuration")?;
     let targets: Vec<_> = plan.targets.iter().map(|t| t.name.clone()).collect();
     let placed = HostContext {
@@ -137,18 +138,19 @@
         now: Ms::secs(1_000),
         sent: VecDeque::new(),
         times: Default::default(),
-        warm: false,
+        measuring: false,
     };
     bench.feed(Event::Config(Arc::new(plan)));
     bench.feed(Event::Hosts { live: 50 });
     for i in 0..REQUESTS {
-        bench.warm = i >= WARM;
-        // A host of the full size takes 15 requests a second; here 16 ms lie between two.
+        bench.measuring = i >= WARMUP_REQUESTS;
+        // A host of the full-size deployment receives 15 requests per second. Here one arrives every
+        // 16 ms.
         bench.now += Ms(16);
         let at = bench.now;
         bench.feed(Event::Arrive(arrival(i, size, at)));
-        while bench.sent.len() > OPEN {
-            bench.done();
+        while bench.sent.len() > MAX_IN_FLIGHT {
+            bench.complete_oldest();
         }
         let target = targets[i * 7 % targets.len()].clone();
         bench.feed(Event::Load { target, running: 3, queued: 0, at });
@@ -158,7 +160,7 @@
     }
     let mut all: Vec<f64> = bench.times.concat();
     let kinds = bench.times.map(|mut times| quantile(&mut times, 50));
-    Ok(Times { median: quantile(&mut all, 50), tail: quantile(&mut all, 99), kinds })
+    Ok(Times { median: quantile(&mut all, 50), p99: quantile(&mut all, 99), kinds })
 }
 
 fn quantile(times: &mut [f64], share: usize) -> f64 {
@@ -192,8 +194,8 @@
     }
 }
 
-/// Median time of an arrival and of any event, µs.
-pub(crate) fn times(size: Size) -> Result<(f64, f64)> {
+/// Median time of an arrival and of any event, in µs.
+pub(crate) fn decision_times_us(size: Size) -> Result<(f64, f64)> {
     let times = measure(size, 1)?;
     Ok((times.kinds[0] / 1000.0, times.median / 1000.0))
 }
--- a/bins/siskinwheel-bench/src/fleet.rs
+++ b/bins/siskinwheel-bench/src/fleet.rs
@@ -1,7 +1,7 @@
-//! `siskinwheel-bench fleet`: what gossip and configuration take at several sizes.
+//! `siskinwheel-bench fleet`: cost of gossip and of spreading the configuration, by fleet size.
 //!
-//! Times are virtual, over the hosts' real reducers; bytes are those of the real messages as they
-//! are encoded; processor time is that of the reducer and the codec, measured.
+//! The hosts' real reducers run in virtual time. Bytes are those of the real messages as they are
+//! encoded. CPU time is measured and covers the reducer and the codec.
 
 use anyhow::Result;
 use base::{Ms, Version};
@@ -18,19 +18,20 @@
 Usage: siskinwheel-bench fleet [--sizes 6,50,100,200,400] [--seeds N] [--targets N]
                                [--changes N] [--json] [--plot FILE.svg]
 
-Hosts of each size in virtual time: time to in force, traffic, processor time, platform calls,
-leaving targets, and hosts that restart in an outage.";
+Simulates fleets of each size in virtual time: time until a configuration is in force, traffic, CPU
+time, platform calls, time until hosts send no new work to a leaving target, and restarts of hosts
+during an outage of the platform.";
 
-/// Time after the start until all know each other.
+/// Time after the start in which all hosts learn of each other.
 const SETTLE: Ms = Ms::secs(60);
-/// Time over which traffic is measured.
+/// Time over which steady traffic is measured.
 const STEADY: Ms = Ms::secs(30);
-/// Time given to each change.
-const CHANGE: Ms = Ms::secs(20);
-/// Changes of the configuration on a day, and its milliseconds.
-const CHANGES_A_DAY: f64 = 1_100.0;
+/// Time given to each change to reach all hosts.
+const CHANGE_WAIT: Ms = Ms::secs(20);
+/// Changes of the configuration per day, and milliseconds of a day.
+const CHANGES_PER_DAY: f64 = 1_100.0;
 const DAY_MS: f64 = 86_400_000.0;
-/// Workspaces declared.
+/// Workspaces in the configuration.
 const WORKSPACES: usize = 900;
 
 struct Args {
@@ -40,7 +41,7 @@
     changes: u64,
 }
 
-/// Figures of one fleet.
+/// Measurements at one fleet size, over all seeds.
 #[derive(Default)]
 struct Figures {
     in_force: Vec<f64>,
@@ -67,7 +68,7 @@
         targets: rest.opt_value_from_str("--targets")?.unwrap_or(600),
         changes: rest.opt_value_from_str("--changes")?.unwrap_or(5),
     };
-    crate::finish(rest)?;
+    crate::reject_unknown(rest)?;
     let mut times = Table {
         title: format!("Time over {} changes, s, seeds 1 to {}", args.changes, args.seeds),
         columns: columns(&[
@@ -93,12 +94,12 @@
         ]),
         rows: Vec::new(),
     };
-    let (mut force, mut bytes) = (Vec::new(), Vec::new());
+    let (mut in_force_points, mut bytes) = (Vec::new(), Vec::new());
     for size in &args.sizes {
         let mut all = Figures::default();
         for seed in 1..=args.seeds {
             eprintln!("{size} hosts, seed {seed}");
-            all.memory += memory(*size, seed, &args);
+            all.memory += host_memory_mb(*size, seed, &args);
             measure(&mut all, *size, seed, &args);
         }
         let n = args.seeds as f64;
@@ -109,7 +110,7 @@
             spread(&all.leaving),
             spread(&all.restart),
         ]);
-        let daily = all.change_bytes / n * CHANGES_A_DAY / DAY_MS * 1000.0;
+        let daily = all.change_bytes / n * CHANGES_PER_DAY / DAY_MS * 1000.0;
         costs.rows.push(vec![
             size.to_string(),
             format!("{:.0}", all.bytes / n + daily),
@@ -121,17 +122,17 @@
             Spread::of(&all.load_age).show(2),
             format!("{:.0}", all.config_bytes as f64 / 1000.0),
         ]);
-        force.push((*size as f64, Spread::of(&all.in_force).most));
+        in_force_points.push((*size as f64, Spread::of(&all.in_force).most));
         bytes.push((*size as f64, (all.bytes / n + daily) / 1000.0));
     }
     output.tables(&[times, costs])?;
     let axes = Axes {
-        title: "Control by size of the fleet".into(),
+        title: "Cost of gossip and configuration by fleet size".into(),
         x: "hosts".into(),
         y: "s, KB/s".into(),
     };
     let series = [
-        Series { name: "in force everywhere, worst, s".into(), points: force },
+        Series { name: "in force everywhere, worst, s".into(), points: in_force_points },
         Series { name: "traffic per host, KB/s".into(), points: bytes },
     ];
     output.plot(&axes, &series)
@@ -141,51 +142,53 @@
     names.iter().map(ToString::to_string).collect()
 }
 
-fn apply(mesh: &mut Mesh, shape: FleetSize, generation: u64) {
+fn apply_config(mesh: &mut Mesh, fleet_size: FleetSize, generation: u64) {
     let before = mesh.platform.get("fleet", "fleet").cloned();
     let audit =
         before.as_ref().and_then(|o| serde_json::from_str::<wire::FleetObject>(&o.body).ok());
     let audit = audit.map(|o| o.audit).unwrap_or_default();
-    let yaml = fleet_yaml(shape, generation);
+    let yaml = fleet_yaml(fleet_size, generation);
     let next = object(generation, &format!("change-{generation}"), yaml, &audit);
     let body = serde_json::to_string(&next).unwrap_or_default();
     let version = Version(before.map_or(0, |o| o.version));
     let written = mesh.put("fleet", "fleet", version, body);
-    assert!(written.is_ok(), "the bench is the only writer");
+    assert!(written.is_ok(), "the benchmark is the only writer");
 }
 
-/// Resident memory that each host adds to the process, MB, with a configuration of its own.
-fn memory(hosts: usize, seed: u64, args: &Args) -> f64 {
-    // What earlier fleets gave back would hide what this one takes.
-    let before = resident();
-    let mut mesh = started(hosts, seed, args, true);
+/// Resident memory in MB that each host adds to the process when each holds its own copy of the
+/// configuration.
+fn host_memory_mb(hosts: usize, seed: u64, args: &Args) -> f64 {
+    // Memory that earlier fleets have freed may be reused here and would then be missing from the
+    // difference.
+    let before = resident_mb();
+    let mut mesh = start_mesh(hosts, seed, args, true);
     mesh.run(SETTLE);
-    let after = resident();
+    let after = resident_mb();
     drop(mesh);
     (after - before).max(0.0) / hosts as f64
 }
 
-/// Resident memory of this process, MB; zero where the system doesn't tell.
-fn resident() -> f64 {
+/// Resident memory of this process in MB of 1000 KB; zero if the system does not report it.
+fn resident_mb() -> f64 {
     let text = std::fs::read_to_string("/proc/self/status").unwrap_or_default();
     let line = text.lines().find_map(|l| l.strip_prefix("VmRSS:"));
     let kb = line.and_then(|l| l.trim().trim_end_matches(" kB").parse::<f64>().ok());
     kb.unwrap_or_default() / 1000.0
 }
 
-fn shape(hosts: usize, args: &Args) -> FleetSize {
+fn fleet_size(hosts: usize, args: &Args) -> FleetSize {
     let domains = if hosts > 20 { 8 } else { 3 };
     FleetSize { hosts, domains, targets: args.targets, workspaces: WORKSPACES }
 }
 
-fn started(hosts: usize, seed: u64, args: &Args, own_plans: bool) -> Mesh {
-    let shape = shape(hosts, args);
-    let mut mesh = Mesh::new((0..hosts).map(|i| host_config(shape, i, seed)).collect());
+fn start_mesh(hosts: usize, seed: u64, args: &Args, own_plans: bool) -> Mesh {
+    let fleet_size = fleet_size(hosts, args);
+    let mut mesh = Mesh::new((0..hosts).map(|i| host_config(fleet_size, i, seed)).collect());
     mesh.own_plans = own_plans;
     for target in 0..args.targets {
         mesh.targets.insert(format!("target-{target}"), Target::default());
     }
-    apply(&mut mesh, shape, 1);
+    apply_config(&mut mesh, fleet_size, 1);
     for host in 0..hosts {
         mesh.start(host);
     }
@@ -193,23 +196,24 @@
 }
 
 fn measure(all: &mut Figures, hosts: usize, seed: u64, args: &Args) {
-    let shape = shape(hosts, args);
-    let mut mesh = started(hosts, seed, args, false);
-    all.config_bytes = fleet_yaml(shape, 1).len();
+    let fleet_size = fleet_size(hosts, args);
+    let mut mesh = start_mesh(hosts, seed, args, false);
+    all.config_bytes = fleet_yaml(fleet_size, 1).len();
     mesh.run(SETTLE);
     let mut rng = ChaCha8Rng::seed_from_u64(seed);
-    steady(all, &mut mesh, &mut rng);
+    measure_steady(all, &mut mesh, &mut rng);
     for generation in 2..2 + args.changes {
-        change(all, &mut mesh, shape, generation, args.changes);
+        measure_change(all, &mut mesh, fleet_size, generation, args.changes);
     }
     for n in 0..args.changes {
-        leave(all, &mut mesh, n as usize * 7 % args.targets);
+        measure_leaving(all, &mut mesh, n as usize * 7 % args.targets);
     }
-    restart(all, &mut mesh, args.changes, &mut rng);
+    measure_restarts(all, &mut mesh, args.changes, &mut rng);
 }
 
-/// Loads that change at every poll, so that each is worth telling.
-fn steady(all: &mut Figures, mesh: &mut Mesh, rng: &mut ChaCha8Rng) {
+/// Measures steady traffic while the loads of the targets change at every poll, so that each poll
+/// gives a load worth gossiping.
+fn measure_steady(all: &mut Figures, mesh: &mut Mesh, rng: &mut ChaCha8Rng) {
     let before = totals(mesh);
     let calls = mesh.platform.calls;
     mesh.measure = true;
@@ -236,26 +240,32 @@
     all.reads += (mesh.platform.calls - calls) as f64 / secs;
 }
 
-/// Bytes and processor seconds of each host.
+/// Bytes sent and received and CPU seconds of each host.
 fn totals(mesh: &Mesh) -> Vec<(u64, f64)> {
     let host = |i| mesh.traffic(i);
     (0..mesh.len()).map(|i| (host(i).sent + host(i).heard, host(i).busy.as_secs_f64())).collect()
 }
 
-/// An accepted change, until it is in force everywhere; and the bytes that it costs a host over
-/// what the same time costs without one.
-fn change(all: &mut Figures, mesh: &mut Mesh, shape: FleetSize, generation: u64, changes: u64) {
+/// Measures the time until an accepted change is in force on all hosts, and the bytes that a host
+/// sends and receives beyond those of an equally long time without a change.
+fn measure_change(
+    all: &mut Figures,
+    mesh: &mut Mesh,
+    fleet_size: FleetSize,
+    generation: u64,
+    changes: u64,
+) {
     let sum = |mesh: &Mesh| totals(mesh).iter().map(|t| t.0).sum::<u64>() as f64;
     mesh.measure = true;
     let start = sum(mesh);
-    mesh.run(CHANGE);
-    let quiet = sum(mesh);
+    mesh.run(CHANGE_WAIT);
+    let baseline = sum(mesh);
     let at = mesh.now();
-    apply(mesh, shape, generation);
-    mesh.run(CHANGE);
+    apply_config(mesh, fleet_size, generation);
+    mesh.run(CHANGE_WAIT);
     mesh.measure = false;
-    let more = (sum(mesh) - quiet) - (quiet - start);
-    all.change_bytes += more.max(0.0) / mesh.len() as f64 / changes as f64;
+    let extra = (sum(mesh) - baseline) - (baseline - start);
+    all.change_bytes += extra.max(0.0) / mesh.len() as f64 / changes as f64;
     let seen = |i: usize| {
         let generations = &mesh.learned(i).generations;
         generations.iter().find(|g| g.1 >= generation).map_or(Ms::MAX, |g| g.0)
@@ -264,8 +274,9 @@
     all.in_force.push((last - at).0 as f64 / 1000.0);
 }
 
-/// An operator marks a target; each host may send it new work until it learns of that.
-fn leave(all: &mut Figures, mesh: &mut Mesh, target: usize) {
+/// Marks a target as leaving, as an operator does, and measures the time until all hosts know. A
+/// host may send the target new work until it learns of the mark.
+fn measure_leaving(all: &mut Figures, mesh: &mut Mesh, target: usize) {
     let at = mesh.now();
     let name = format!("target-{target}");
     let mark = LeavingTarget {
@@ -277,47 +288,48 @@
     let body = serde_json::to_string(&mark).unwrap_or_default();
     let written = mesh.put("leaving", &name, Version(0), body);
     assert!(written.is_ok(), "each target is marked once");
-    mesh.run(CHANGE);
+    mesh.run(CHANGE_WAIT);
     let seen = |i: usize| mesh.learned(i).leaving.get(&name).map_or(Ms::MAX, |w| w.0);
     let last = (0..mesh.len()).map(seen).max().unwrap_or_default();
     all.leaving.push((last - at).0 as f64 / 1000.0);
 }
 
-/// The platform is down and a host starts anew: it serves once it has a configuration.
-fn restart(all: &mut Figures, mesh: &mut Mesh, times: u64, rng: &mut ChaCha8Rng) {
+/// Restarts hosts while the platform is down and measures the time until each one serves, which it
+/// does once it has a configuration.
+fn measure_restarts(all: &mut Figures, mesh: &mut Mesh, times: u64, rng: &mut ChaCha8Rng) {
     mesh.platform.faults.down = true;
-    mesh.run(CHANGE);
+    mesh.run(CHANGE_WAIT);
     for _ in 0..times {
         let host = rng.random_range(0..mesh.len());
         mesh.kill(host);
         mesh.run(Ms::secs(3));
         let at = mesh.now();
         mesh.start(host);
-        mesh.run(CHANGE);
+        mesh.run(CHANGE_WAIT);
         let serving = mesh.learned(host).generations.first().map_or(Ms::MAX, |g| g.0);
         all.restart.push((serving - at).0 as f64 / 1000.0);
     }
 }
 
-/// What control costs one host.
+/// Cost of gossip and configuration for one host, and platform calls of the fleet.
 pub(crate) struct Control {
-    /// In and out together.
+    /// Bytes per second, received and sent together.
     pub(crate) bytes_s: f64,
-    /// Share of a core, %.
+    /// CPU time as a share of one core, %.
     pub(crate) core: f64,
-    /// MB.
+    /// Resident memory, MB.
     pub(crate) memory: f64,
-    /// Calls of the whole fleet to the platform, a second.
+    /// Calls per second of the whole fleet to the platform.
     pub(crate) calls_s: f64,
 }
 
-/// Measures one size with `targets` targets, without changes of the configuration.
+/// Measures one fleet size with `targets` targets and no changes of the configuration.
 pub(crate) fn control(hosts: usize, targets: usize) -> Control {
     let args = Args { sizes: vec![hosts], seeds: 1, targets, changes: 0 };
-    let memory = memory(hosts, 1, &args);
+    let memory = host_memory_mb(hosts, 1, &args);
     let mut all = Figures::default();
-    let mut mesh = started(hosts, 1, &args, false);
+    let mut mesh = start_mesh(hosts, 1, &args, false);
     mesh.run(SETTLE);
-    steady(&mut all, &mut mesh, &mut ChaCha8Rng::seed_from_u64(1));
+    measure_steady(&mut all, &mut mesh, &mut ChaCha8Rng::seed_from_u64(1));
     Control { bytes_s: all.bytes, core: all.busy * 100.0, memory, calls_s: all.reads }
 }
--- a/bins/siskinwheel-bench/src/journal.rs
+++ b/bins/siskinwheel-bench/src/journal.rs
@@ -1,5 +1,5 @@
-//! What it costs to run a key at most once, by design: one object a key, a lease-owned log, and
-//! shard objects.
+//! `siskinwheel-bench journal`: cost of running a key at most once, under three designs of the
+//! journal: one object per key, a log owned by the holder of a lease, and shard objects.
 
 mod leased;
 mod load;
@@ -20,22 +20,22 @@
 Usage: siskinwheel-bench journal [--rate N] [--seconds N] [--hosts N,N] [--seeds N] [--memory]
                                  [--shards N] [--lanes N] [--commit MS]
 
-Keyed requests under three designs of the journal: writes a second to the object API, latency
-added, recovery after the death of the host that writes, and what an outage of the platform does.
-Up to 6 hosts run over loopback in real time, more of them in memory in virtual time.
+Runs keyed requests under three designs of the journal and measures writes per second to the object
+API, added latency, recovery after the host that writes has died, and the effect of an outage of the
+platform. Up to 6 hosts run over loopback in real time, more of them in memory in virtual time.
 
-  --rate N      keyed requests a second (300)
-  --seconds N   time that is measured (15)
+  --rate N      keyed requests per second (300)
+  --seconds N   measured time (15)
   --hosts N,N   numbers of hosts (1,6,400)
-  --seeds N     runs of each (3)
-  --memory      all in memory and virtual time
-  --shards N    shard objects (as the settings' default)
-  --lanes N     shards that take new keys at a time (as the settings' default)
-  --commit MS   least time between two commits of a shard (as the settings' default)";
+  --seeds N     runs of each combination (3)
+  --memory      run all sizes in memory, in virtual time
+  --shards N    number of shard objects (default of the settings)
+  --lanes N     shards that accept new keys at a time (default of the settings)
+  --commit MS   shortest time between two commits of a shard (default of the settings)";
 
-/// Most hosts that run over loopback.
-const LOOPBACK: usize = 6;
-/// How long the platform is away.
+/// Largest number of hosts that run over loopback; more run in memory.
+const MAX_LOOPBACK_HOSTS: usize = 6;
+/// Length of the platform outage.
 const OUTAGE: Ms = Ms::secs(4);
 
 struct Sizes {
@@ -47,7 +47,7 @@
     rules: JournalSettings,
 }
 
-/// Runs it.
+/// Runs the command.
 pub fn run(mut args: Arguments, output: &Output) -> Result<()> {
     let hosts = |text: &str| text.split(',').map(str::parse).collect::<Result<Vec<_>, _>>();
     let default = JournalSettings::default();
@@ -65,7 +65,7 @@
         memory: args.contains("--memory"),
         rules,
     };
-    crate::finish(args)?;
+    crate::reject_unknown(args)?;
     let Sizes { rate, span, seeds, rules, .. } = &sizes;
     let JournalSettings { shards, lanes, commit_ms, .. } = rules;
     let title = |what: &str| {
@@ -91,12 +91,12 @@
             let twice: u64 = runs.iter().map(|r| r.twice).sum();
             let keys: u64 = runs.iter().map(|r| r.keys).sum();
             vec![
-                show(runs, 1, |r| r.writes_s),
-                show(runs, 1, |r| r.reads_s),
-                show(runs, 0, |r| r.kbytes_s),
-                show(runs, 1, |r| at(&r.grants, 0.5)),
-                show(runs, 1, |r| at(&r.grants, 0.99)),
-                show(runs, 0, |r| r.refusals.len() as f64),
+                spread(runs, 1, |r| r.writes_s),
+                spread(runs, 1, |r| r.reads_s),
+                spread(runs, 0, |r| r.kbytes_s),
+                spread(runs, 1, |r| quantile_ms(&r.grants, 0.5)),
+                spread(runs, 1, |r| quantile_ms(&r.grants, 0.99)),
+                spread(runs, 0, |r| r.refusals.len() as f64),
                 format!("{twice} of {keys}"),
             ]
         },
@@ -109,10 +109,10 @@
         |runs| {
             let twice: u64 = runs.iter().map(|r| r.twice).sum();
             vec![
-                show(runs, 0, |r| r.recovery.0 as f64),
-                show(runs, 0, |r| r.late as f64),
-                show(runs, 0, |r| r.refusals.len() as f64),
-                show(runs, 1, |r| at(&r.grants, 0.99)),
+                spread(runs, 0, |r| r.recovery.0 as f64),
+                spread(runs, 0, |r| r.late as f64),
+                spread(runs, 0, |r| r.refusals.len() as f64),
+                spread(runs, 1, |r| quantile_ms(&r.grants, 0.99)),
                 twice.to_string(),
             ]
         },
@@ -120,15 +120,15 @@
     let outage = table(
         &sizes,
         Fault::Outage(OUTAGE),
-        title(&format!("Platform away for {OUTAGE}")),
+        title(&format!("Platform outage of {OUTAGE}")),
         &["refused after ms", "p99 ms", "re-sends answered %", "recovery ms", "keys run twice"],
         |runs| {
             let twice: u64 = runs.iter().map(|r| r.twice).sum();
             vec![
-                show(runs, 1, |r| at(&r.refusals, 0.5)),
-                show(runs, 1, |r| at(&r.refusals, 0.99)),
-                show(runs, 0, |r| 100.0 * r.replays.1 as f64 / r.replays.0.max(1) as f64),
-                show(runs, 0, |r| r.recovery.0 as f64),
+                spread(runs, 1, |r| quantile_ms(&r.refusals, 0.5)),
+                spread(runs, 1, |r| quantile_ms(&r.refusals, 0.99)),
+                spread(runs, 0, |r| 100.0 * r.replays.1 as f64 / r.replays.0.max(1) as f64),
+                spread(runs, 0, |r| r.recovery.0 as f64),
                 twice.to_string(),
             ]
         },
@@ -145,22 +145,22 @@
 ) -> Result<Table> {
     let mut rows = Vec::new();
     for &hosts in &sizes.hosts {
-        // A lone host that dies leaves nobody to measure.
+        // With a single host, no host is left to measure after its death.
         if hosts == 1 && fault == Fault::Death {
             continue;
         }
-        let place = match sizes.memory || hosts > LOOPBACK {
+        let place = match sizes.memory || hosts > MAX_LOOPBACK_HOSTS {
             true => Place::Memory,
             false => Place::Loopback,
         };
         let designs = [Design::Direct, Design::Leased, Design::Sharded];
         let mut runs = designs.map(|_| Vec::new());
-        // The designs take turns, so that whatever else the machine does meets all of them.
+        // The designs run alternately, so that other load on the machine affects them all alike.
         for seed in 1..=sizes.seeds {
             for (runs, design) in runs.iter_mut().zip(designs) {
                 let config = LoadConfig { rate: sizes.rate, span: sizes.span, seed };
                 eprintln!("{design:?}, {hosts} hosts, {fault:?}, seed {seed}");
-                runs.push(one(design, place, hosts, config, fault, &sizes.rules)?);
+                runs.push(run_once(design, place, hosts, config, fault, &sizes.rules)?);
             }
         }
         for (runs, design) in runs.iter().zip(designs) {
@@ -172,7 +172,7 @@
     Ok(Table { title, columns: columns.map(ToString::to_string).collect(), rows })
 }
 
-fn one(
+fn run_once(
     design: Design,
     place: Place,
     hosts: usize,
@@ -192,20 +192,20 @@
     })
 }
 
-fn show(runs: &[Figures], digits: usize, value: impl Fn(&Figures) -> f64) -> String {
+fn spread(runs: &[Figures], digits: usize, value: impl Fn(&Figures) -> f64) -> String {
     Spread::of(&runs.iter().map(value).collect::<Vec<_>>()).show(digits)
 }
 
-/// A quantile in milliseconds.
-fn at(histogram: &Histogram<u64>, quantile: f64) -> f64 {
+/// A quantile in milliseconds; the histogram counts in 0.1 ms.
+fn quantile_ms(histogram: &Histogram<u64>, quantile: f64) -> f64 {
     histogram.value_at_quantile(quantile) as f64 / 10.0
 }
 
-/// Writes, reads and KB a second to the object API for `rate` keyed requests a second, in virtual
-/// time.
+/// Measures writes, reads and written KB per second at the object API for `rate` keyed requests per
+/// second, in virtual time.
 pub(crate) fn store_calls(hosts: usize, rate: u32) -> Result<(f64, f64, f64)> {
     let config = LoadConfig { rate, span: Ms::secs(10), seed: 1 };
     let rules = JournalSettings::default();
-    let run = one(Design::Sharded, Place::Memory, hosts, config, Fault::None, &rules)?;
+    let run = run_once(Design::Sharded, Place::Memory, hosts, config, Fault::None, &rules)?;
     Ok((run.writes_s, run.reads_s, run.kbytes_s))
 }
--- a/bins/siskinwheel-bench/src/journal/leased.rs
+++ b/bins/siskinwheel-bench/src/journal/leased.rs
@@ -1,7 +1,7 @@
-//! The design that is compared with: one log, written by whoever holds a lease.
+//! A design for comparison: a single log that only the holder of a lease writes.
 //!
-//! The log itself is the same group commit. What differs is that nobody else writes: when the
-//! holder dies, its lease has to run out first.
+//! The log uses the same group commit as the sharded journal. The difference is that no other host
+//! writes: when the holder dies, its lease has to expire before another host can take over.
 
 use async_trait::async_trait;
 use base::{Clock, HostId, Ms, Version};
@@ -12,14 +12,14 @@
 use tokio::time::sleep;
 use wire::{Exchange, Finish, Grant, GrantKind, Lease, RecordState};
 
-/// Kind of the lease's object.
-pub const KIND: &str = "lease";
-/// Its name.
-pub const NAME: &str = "journal";
-/// How long a lease holds, ms: as long as hosts of today may be paused and come back.
-const TERM: Ms = Ms::secs(5);
-/// Wait after a failed look at the lease.
-const RETRY: Ms = Ms(50);
+/// Object kind of the lease.
+pub const LEASE_KIND: &str = "lease";
+/// Object name of the lease.
+pub const LEASE_NAME: &str = "journal";
+/// Term of a lease: as long as a host of the current system may be paused and still come back.
+const LEASE_TERM: Ms = Ms::secs(5);
+/// Wait after a failed read or write of the lease.
+const RETRY_DELAY: Ms = Ms(50);
 
 /// One host of the leased design.
 pub struct Leased {
@@ -29,13 +29,14 @@
     peers: Arc<dyn Peers>,
     view: Arc<dyn View>,
     log: Sharded,
-    known: tokio::sync::Mutex<Option<(Option<HostId>, Ms)>>,
+    /// Holder that was last seen, and until when this is taken for valid.
+    cached_holder: tokio::sync::Mutex<Option<(Option<HostId>, Ms)>>,
 }
 
-/// A view in which there is nobody else, so that the log is written here.
-struct Alone;
+/// A view without other hosts, so that this host writes the log itself.
+struct NoOtherHosts;
 
-impl View for Alone {
+impl View for NoOtherHosts {
     fn hosts(&self) -> Arc<[ViewHost]> {
         Arc::from([])
     }
@@ -50,36 +51,38 @@
         view: Arc<dyn View>,
     ) -> Arc<Self> {
         let me = config.host.clone();
-        let log = Sharded::new(config, api.clone(), clock.clone(), peers.clone(), Arc::new(Alone));
-        Arc::new(Self { me, api, clock, peers, view, log, known: Default::default() })
+        let log =
+            Sharded::new(config, api.clone(), clock.clone(), peers.clone(), Arc::new(NoOtherHosts));
+        Arc::new(Self { me, api, clock, peers, view, log, cached_holder: Default::default() })
     }
 
-    /// The holder, after a try to become it when the lease has run out.
+    /// Returns the holder of the lease; tries to acquire the lease if it has expired.
     async fn holder(&self) -> Option<HostId> {
-        let mut known = self.known.lock().await;
+        let mut cached = self.cached_holder.lock().await;
         let now = self.clock.now();
-        if let Some((holder, until)) = known.as_ref()
+        if let Some((holder, until)) = cached.as_ref()
             && now < *until
         {
             return holder.clone();
         }
-        // A failure holds for a while, so that requests don't queue up behind each other's tries.
-        *known = Some((None, now + RETRY));
-        let read = self.api.get(KIND, NAME).await.ok()?;
+        // A failure is cached for `RETRY_DELAY`, so that requests do not queue behind each other's
+        // attempts.
+        *cached = Some((None, now + RETRY_DELAY));
+        let read = self.api.get(LEASE_KIND, LEASE_NAME).await.ok()?;
         let version = Version(read.as_ref().map_or(0, |o| o.version));
         let lease: Lease =
             read.and_then(|o| serde_json::from_str(&o.body).ok()).unwrap_or_default();
-        let until = Ms(lease.renewed_ms) + TERM;
+        let until = Ms(lease.renewed_ms) + LEASE_TERM;
         if now < until && lease.holder != self.me.as_str() {
             let holder = HostId::from(lease.holder);
-            *known = Some((Some(holder.clone()), until));
+            *cached = Some((Some(holder.clone()), until));
             return Some(holder);
         }
-        let lease = Lease { holder: self.me.to_string(), term_ms: TERM.0, renewed_ms: now.0 };
+        let lease = Lease { holder: self.me.to_string(), term_ms: LEASE_TERM.0, renewed_ms: now.0 };
         let body = serde_json::to_string(&lease).ok()?;
-        self.api.put(KIND, NAME, version, &body).await.ok()?;
-        // Renewed by use: the next call after two thirds of the term.
-        *known = Some((Some(self.me.clone()), now + TERM.scale(2, 3)));
+        self.api.put(LEASE_KIND, LEASE_NAME, version, &body).await.ok()?;
+        // The holder renews the lease on use: at the first call after two thirds of the term.
+        *cached = Some((Some(self.me.clone()), now + LEASE_TERM.scale(2, 3)));
         Some(self.me.clone())
     }
 
@@ -124,7 +127,9 @@
                     return self.log.finish(claim, outcome).await;
                 }
                 Some(holder) => match self.address(&holder) {
-                    Some(to) => self.peers.finish(to, finish(claim, &outcome)).await == Ok(true),
+                    Some(to) => {
+                        self.peers.finish(to, finish_message(claim, &outcome)).await == Ok(true)
+                    }
                     None => false,
                 },
                 None => false,
@@ -163,7 +168,7 @@
     }
 }
 
-fn finish(claim: &Claim, outcome: &Outcome) -> Finish {
+fn finish_message(claim: &Claim, outcome: &Outcome) -> Finish {
     let (state, answer) = match outcome {
         Outcome::Done(answer) => (RecordState::Done, Some(answer.clone())),
         Outcome::Released => (RecordState::Released, None),
--- a/bins/siskinwheel-bench/src/journal/load.rs
+++ b/bins/siskinwheel-bench/src/journal/load.rs
@@ -1,4 +1,4 @@
-//! Keyed requests at a steady rate, and what becomes of them.
+//! Sends keyed requests at a steady mean rate and measures the results.
 
 use super::world::{Calls, Design, World};
 use base::{Key, Ms, RequestId, WorkspaceId};
@@ -11,37 +11,37 @@
 use tokio::time::{Instant, sleep, sleep_until};
 use wire::Answer;
 
-/// Bytes of each answer, as a job sign-off's.
+/// Size of each answer in bytes, that of a job sign-off.
 const ANSWER_BYTES: usize = 200;
-/// Share of requests that are sent again to another host, percent.
-const AGAIN: u32 = 10;
-/// A request that took longer than this is one that a fault held up.
-const LATE: Ms = Ms(100);
-/// Before anything is measured.
-const WARM: Ms = Ms::secs(3);
+/// Percentage of requests that are sent again, to a host chosen anew.
+const RESEND_PERCENT: u32 = 10;
+/// A request that took longer than this counts as delayed by a fault.
+const LATE_AFTER: Ms = Ms(100);
+/// Time before measuring starts.
+const WARM_UP: Ms = Ms::secs(3);
 
-/// What happens while the load runs.
+/// Fault that is injected while the load runs.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 pub enum Fault {
     /// Nothing.
     None,
     /// The host that writes the keys dies.
     Death,
-    /// The platform is away for this long.
+    /// The platform is unavailable for this long.
     Outage(Ms),
 }
 
-/// How much load.
+/// Rate, duration and seed of the load.
 #[derive(Clone, Copy, Debug)]
 pub struct LoadConfig {
-    /// Requests a second.
+    /// Requests per second.
     pub rate: u32,
-    /// Time that is measured.
+    /// Measured time.
     pub span: Ms,
     pub seed: u64,
 }
 
-/// What came of it.
+/// Results of a run.
 #[derive(Clone, Debug)]
 pub struct Figures {
     pub writes_s: f64,
@@ -53,9 +53,9 @@
     pub refusals: Histogram<u64>,
     /// From the fault's end (its start, for a death) until all requests are granted in time again.
     pub recovery: Ms,
-    /// Requests after it that were refused or took longer than [`LATE`].
+    /// Requests after that moment that were refused or took longer than [`LATE_AFTER`].
     pub late: u64,
-    /// Re-sends of finished keys in the outage, and how many were told the kept answer.
+    /// Re-sends of finished keys during the outage, and how many of them got the stored answer.
     pub replays: (u64, u64),
     pub keys: u64,
     pub twice: u64,
@@ -69,10 +69,10 @@
 
 struct State {
     rng: ChaCha8Rng,
-    /// Whether it is measured now.
-    counts: bool,
+    /// Whether requests are being measured.
+    measuring: bool,
     dead: Option<usize>,
-    /// The moment from which a held-up request counts as recovery.
+    /// Requests due from this moment on count towards the recovery if they are delayed or refused.
     fault: Option<Instant>,
     outage: bool,
     recovery: Ms,
@@ -85,14 +85,14 @@
     next: u128,
 }
 
-/// Runs the load over a world.
+/// Runs the load against `world`.
 pub async fn run(world: World, design: Design, config: LoadConfig, fault: Fault) -> Figures {
     let load = Arc::new(Load {
         world,
         start: Instant::now(),
         state: Mutex::new(State {
             rng: ChaCha8Rng::seed_from_u64(config.seed),
-            counts: false,
+            measuring: false,
             dead: None,
             fault: None,
             outage: false,
@@ -106,24 +106,24 @@
             next: 1,
         }),
     });
-    let arrivals = tokio::spawn(arrive(load.clone(), config));
-    sleep(WARM.duration()).await;
+    let arrivals = tokio::spawn(send_arrivals(load.clone(), config));
+    sleep(WARM_UP.duration()).await;
     let (before, from) = (load.world.calls(), Instant::now());
-    load.lock().counts = true;
+    load.lock().measuring = true;
     let third = config.span.scale(1, 3);
     sleep(third.duration()).await;
-    load.bring_about(design, fault).await;
+    load.inject(design, fault).await;
     sleep_until(from + config.span.duration()).await;
     let (after, seconds) = (load.world.calls(), from.elapsed().as_secs_f64());
-    load.lock().counts = false;
-    // What was asked last still gets its answer.
+    load.lock().measuring = false;
+    // Lets the last requests get their answers.
     let _ = arrivals.await;
     sleep(Ms::secs(5).duration()).await;
     load.figures(before, after, seconds)
 }
 
-async fn arrive(load: Arc<Load>, config: LoadConfig) {
-    let end = load.start + (WARM + config.span).duration();
+async fn send_arrivals(load: Arc<Load>, config: LoadConfig) {
+    let end = load.start + (WARM_UP + config.span).duration();
     let mut at = load.start;
     while at < end {
         let gap = {
@@ -139,18 +139,18 @@
 
 impl Load {
     async fn request(self: Arc<Self>, at: Instant) {
-        let (key, again, first, second, takes, late, replay) = {
+        let (key, resend, first, second, run_time, resend_delay, replay) = {
             let mut state = self.lock();
             let hosts = self.world.journals.len();
             let seed = state.next;
             state.next += 1;
             let now = self.world.clock.now();
             let replay = if state.outage { state.old_key() } else { None };
-            let again = state.rng.random_range(0..100) < AGAIN;
-            let (first, second) = (state.alive(hosts), state.alive(hosts));
-            let takes = Ms(state.rng.random_range(100..2_000));
-            let late = Ms(state.rng.random_range(50..1_000));
-            (Key::at(now, seed), again, first, second, takes, late, replay)
+            let resend = state.rng.random_range(0..100) < RESEND_PERCENT;
+            let (first, second) = (state.live_host(hosts), state.live_host(hosts));
+            let run_time = Ms(state.rng.random_range(100..2_000));
+            let resend_delay = Ms(state.rng.random_range(50..1_000));
+            (Key::at(now, seed), resend, first, second, run_time, resend_delay, replay)
         };
         if let Some(key) = replay {
             let granted = self.world.journals[first].register(&self.claim(key)).await;
@@ -159,14 +159,14 @@
             state.replays.1 += u64::from(matches!(granted, ClaimResult::Answered(_)));
             return;
         }
-        if again {
+        if resend {
             let load = self.clone();
             tokio::spawn(async move {
-                sleep(late.duration()).await;
-                load.ask(key, second, takes, None).await;
+                sleep(resend_delay.duration()).await;
+                load.send(key, second, run_time, None).await;
             });
         }
-        self.ask(key, first, takes, Some(at)).await;
+        self.send(key, first, run_time, Some(at)).await;
     }
 
     fn claim(&self, key: Key) -> Claim {
@@ -176,14 +176,14 @@
         Claim { workspace: WorkspaceId::from("w"), key, attempt }
     }
 
-    async fn ask(&self, key: Key, host: usize, takes: Ms, at: Option<Instant>) {
+    async fn send(&self, key: Key, host: usize, run_time: Ms, at: Option<Instant>) {
         let claim = self.claim(key);
         let journal: Arc<dyn Journal> = self.world.journals[host].clone();
         let granted = journal.register(&claim).await;
-        if !self.lock().told(host, at, &granted, key) {
+        if !self.lock().record(host, at, &granted, key) {
             return;
         }
-        sleep(takes.duration()).await;
+        sleep(run_time.duration()).await;
         if self.lock().dead == Some(host) {
             return;
         }
@@ -194,7 +194,7 @@
         }
     }
 
-    async fn bring_about(&self, design: Design, fault: Fault) {
+    async fn inject(&self, design: Design, fault: Fault) {
         match fault {
             Fault::None => {}
             Fault::Death => {
@@ -208,9 +208,9 @@
             }
             Fault::Outage(span) => {
                 self.lock().outage = true;
-                self.world.outage(true);
+                self.world.set_outage(true);
                 sleep(span.duration()).await;
-                self.world.outage(false);
+                self.world.set_outage(false);
                 let mut state = self.lock();
                 state.outage = false;
                 state.fault = Some(Instant::now());
@@ -241,8 +241,8 @@
 }
 
 impl State {
-    /// A host that the balancer would choose.
-    fn alive(&mut self, hosts: usize) -> usize {
+    /// A random host that is alive, as a load balancer would pick it.
+    fn live_host(&mut self, hosts: usize) -> usize {
         let picked = self.rng.random_range(0..hosts);
         match self.dead {
             Some(dead) if dead == picked => (picked + 1) % hosts,
@@ -250,17 +250,23 @@
         }
     }
 
-    /// A key that ended a second ago or earlier; now and then.
+    /// A key that finished at least a second ago, for one request in four.
     fn old_key(&mut self) -> Option<Key> {
         let now = Instant::now();
-        let old = self.finished.iter().filter(|(_, at)| *at + WARM.duration() / 3 < now);
+        let old = self.finished.iter().filter(|(_, at)| *at + WARM_UP.duration() / 3 < now);
         let old: Vec<_> = old.map(|(key, _)| *key).collect();
         let wanted = self.rng.random_range(0..4) == 0 && !old.is_empty();
         wanted.then(|| old[self.rng.random_range(0..old.len())])
     }
 
-    /// Takes note of an answer. True when the attempt runs.
-    fn told(&mut self, host: usize, at: Option<Instant>, granted: &ClaimResult, key: Key) -> bool {
+    /// Records the result of a claim. Returns true if the attempt runs.
+    fn record(
+        &mut self,
+        host: usize,
+        at: Option<Instant>,
+        granted: &ClaimResult,
+        key: Key,
+    ) -> bool {
         if self.dead == Some(host) {
             return false;
         }
@@ -268,7 +274,7 @@
         if runs {
             *self.runs.entry(key).or_default() += 1;
         }
-        let Some(at) = at.filter(|_| self.counts) else { return runs };
+        let Some(at) = at.filter(|_| self.measuring) else { return runs };
         let took = at.elapsed();
         let tenths = took.as_micros() as u64 / 100;
         let refused = *granted == ClaimResult::Unavailable;
@@ -277,7 +283,7 @@
             false => self.grants.saturating_record(tenths),
         }
         if let Some(fault) = self.fault.filter(|f| at >= *f)
-            && (refused || took > LATE.duration())
+            && (refused || took > LATE_AFTER.duration())
         {
             self.late += 1;
             let until = at + took - fault;
@@ -288,5 +294,5 @@
 }
 
 fn histogram() -> Histogram<u64> {
-    Histogram::new_with_bounds(1, 1_000_000, 3).expect("bounds that fit")
+    Histogram::new_with_bounds(1, 1_000_000, 3).expect("valid bounds")
 }
--- a/bins/siskinwheel-bench/src/journal/world.rs
+++ b/bins/siskinwheel-bench/src/journal/world.rs
@@ -1,4 +1,4 @@
-//! Hosts with one of the designs, over loopback or in memory.
+//! A fleet of hosts that use one of the journal designs, over loopback or in memory.
 
 use super::leased::{self, Leased};
 use anyhow::{Context, Result};
@@ -15,29 +15,29 @@
 use tokio::time::{Instant, sleep};
 use wire::{Claim, Exchange, Finish, Grant, Object, ObjectList};
 
-/// Where the clock starts.
-const EPOCH: Ms = Ms(1_700_000_000_000);
-/// One way between two hosts in memory, ms: a little over a millisecond between domains.
-const HOP: Ms = Ms(2);
-/// Time of a call to the platform over loopback, ms; in memory it is 2 to 6.
+/// Time at which the clock starts.
+const CLOCK_START: Ms = Ms(1_700_000_000_000);
+/// One-way delay between two hosts in memory. Between failure domains it is a little over 1 ms.
+const HOP_DELAY: Ms = Ms(2);
+/// Duration of a call to the platform over loopback; in memory it is 2 to 6 ms.
 const CALL_MS: u64 = 4;
-/// Silence after which a call to another host is given up.
-const SILENCE: Ms = Ms(500);
-/// Until a dead host is taken out of the view, as `rates.suspect_ms`.
-const SUSPECT: Ms = Ms::secs(5);
+/// A call to another host fails after this long without an answer.
+const CALL_TIMEOUT: Ms = Ms(500);
+/// Time after which a dead host is removed from the view, as with `rates.suspect_ms`.
+const SUSPECT_AFTER: Ms = Ms::secs(5);
 
 /// How keys are recorded.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 pub enum Design {
-    /// One object a key.
+    /// One object per key.
     Direct,
-    /// One log, written by the holder of a lease.
+    /// One log that the holder of a lease writes.
     Leased,
     /// Shard objects with preferred writers.
     Sharded,
 }
 
-/// Where a world runs.
+/// How the hosts are connected.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 pub enum Place {
     /// HTTP and tarpc over loopback, in real time.
@@ -46,7 +46,7 @@
     Memory,
 }
 
-/// Calls to the object API.
+/// Number of calls to the object API, and bytes written.
 #[derive(Clone, Copy, Debug, Default)]
 pub struct Calls {
     pub writes: u64,
@@ -59,16 +59,16 @@
     Memory(Arc<MemStore>),
 }
 
-/// Hosts and their platform.
+/// A fleet of hosts and its platform.
 pub struct World {
     pub journals: Vec<Arc<dyn Journal>>,
-    /// One of the journals, to ask who writes.
+    /// One of the sharded journals, to look up which host writes a key.
     sharded: Option<Arc<Sharded>>,
     listeners: Mutex<Vec<Option<Listener>>>,
-    net: Arc<Net>,
+    net: Arc<MemoryNetwork>,
     backend: Backend,
-    counted: Arc<Counted>,
-    roll: Arc<Roll>,
+    counting_api: Arc<CountingApi>,
+    shared_view: Arc<SharedView>,
     pub clock: Arc<dyn Clock>,
 }
 
@@ -87,7 +87,8 @@
                 (Backend::Memory(store), api)
             }
             Place::Loopback => {
-                let platform = Platform::start(local()).await.context("starting the platform")?;
+                let platform =
+                    Platform::start(loopback_any_port()).await.context("starting the platform")?;
                 platform.set_faults(PlatformFaults { slow_ms: CALL_MS, ..Default::default() });
                 let config = HttpConfig { silence_ms: Ms::secs(1), watch_ms: Ms::secs(1) };
                 let api = Arc::new(HttpApi::new(platform.addr(), config));
@@ -95,26 +96,26 @@
             }
         };
         let clock: Arc<dyn Clock> = Arc::new(TokioClock(Instant::now()));
-        let counted = Arc::new(Counted::new(api));
+        let counting_api = Arc::new(CountingApi::new(api));
         let mut world = Self {
             journals: Vec::new(),
             sharded: None,
             listeners: Mutex::default(),
             net: Arc::default(),
             backend,
-            counted,
-            roll: Arc::default(),
+            counting_api,
+            shared_view: Arc::default(),
             clock,
         };
-        let serves: Vec<_> =
-            (0..hosts).map(|host| world.host(design, host, place, rules)).collect();
-        for (host, serves) in serves.into_iter().enumerate() {
-            world.listen(place, host, serves).await?;
+        let handlers: Vec<_> =
+            (0..hosts).map(|host| world.add_host(design, host, place, rules)).collect();
+        for (host, handler) in handlers.into_iter().enumerate() {
+            world.listen(place, host, handler).await?;
         }
         Ok(world)
     }
 
-    fn host(
+    fn add_host(
         &mut self,
         design: Design,
         host: usize,
@@ -122,10 +123,10 @@
         rules: &JournalSettings,
     ) -> Arc<dyn PeerHandler> {
         let (api, clock, view): (Arc<dyn Api>, _, Arc<dyn View>) =
-            (self.counted.clone(), self.clock.clone(), self.roll.clone());
+            (self.counting_api.clone(), self.clock.clone(), self.shared_view.clone());
         let peers: Arc<dyn Peers> = match place {
             Place::Memory => self.net.clone(),
-            Place::Loopback => Arc::new(PeerClient::new(SILENCE)),
+            Place::Loopback => Arc::new(PeerClient::new(CALL_TIMEOUT)),
         };
         let config =
             ShardedConfig { host: HostId::from(name(host)), incarnation: 1, rules: rules.clone() };
@@ -134,13 +135,13 @@
                 let rules = &config.rules;
                 let direct = Direct::new(api, clock, rules.window_ms, rules.ahead_ms);
                 self.journals.push(Arc::new(direct));
-                Arc::new(Nothing)
+                Arc::new(NoPeerCalls)
             }
             Design::Sharded => {
                 let sharded = Arc::new(Sharded::new(config, api, clock, peers, view));
                 self.journals.push(sharded.clone());
                 self.sharded.get_or_insert_with(|| sharded.clone());
-                Arc::new(Serving(sharded))
+                Arc::new(ShardedHandler(sharded))
             }
             Design::Leased => {
                 let leased = Leased::new(config, api, clock, peers, view);
@@ -150,15 +151,15 @@
         }
     }
 
-    async fn listen(&self, place: Place, host: usize, serves: Arc<dyn PeerHandler>) -> Result<()> {
+    async fn listen(&self, place: Place, host: usize, handler: Arc<dyn PeerHandler>) -> Result<()> {
         let (address, listener) = match place {
             Place::Memory => (address(host), None),
             Place::Loopback => {
-                let listener = Listener::start(local(), serves.clone()).await?;
+                let listener = Listener::start(loopback_any_port(), handler.clone()).await?;
                 (listener.addr(), Some(listener))
             }
         };
-        lock(&self.net.serves).push(Some(serves));
+        lock(&self.net.handlers).push(Some(handler));
         lock(&self.listeners).push(listener);
         let found = ViewHost {
             host: HostId::from(name(host)),
@@ -166,14 +167,14 @@
             address,
             capacity: 0,
         };
-        let mut hosts = lock(&self.roll.0);
+        let mut hosts = lock(&self.shared_view.0);
         *hosts = hosts.iter().cloned().chain([found]).collect();
         Ok(())
     }
 
-    /// The host that records a key that is made now.
+    /// Index of the host that records a key created now.
     pub async fn writer(&self, design: Design) -> usize {
-        let hosts = lock(&self.roll.0).clone();
+        let hosts = lock(&self.shared_view.0).clone();
         let claim = journal::Claim {
             workspace: "w".into(),
             key: base::Key::at(self.clock.now(), 1),
@@ -188,29 +189,29 @@
     }
 
     async fn holder(&self) -> Option<HostId> {
-        let object = self.counted.get(leased::KIND, leased::NAME).await.ok()??;
+        let object = self.counting_api.get(leased::LEASE_KIND, leased::LEASE_NAME).await.ok()??;
         let lease: wire::Lease = serde_json::from_str(&object.body).ok()?;
         Some(HostId::from(lease.holder))
     }
 
-    /// Ends a host without warning. In memory its calls then go silent; over loopback its
+    /// Kills a host without warning. In memory, calls to it then get no answer; over loopback, its
     /// connections break.
     pub async fn kill(&self, host: usize) {
-        lock(&self.net.serves)[host] = None;
+        lock(&self.net.handlers)[host] = None;
         let listener = lock(&self.listeners)[host].take();
         if let Some(listener) = listener {
             listener.close().await;
         }
-        let (roll, dead) = (self.roll.clone(), name(host));
+        let (shared_view, dead) = (self.shared_view.clone(), name(host));
         tokio::spawn(async move {
-            sleep(SUSPECT.duration()).await;
-            let mut hosts = lock(&roll.0);
+            sleep(SUSPECT_AFTER.duration()).await;
+            let mut hosts = lock(&shared_view.0);
             *hosts = hosts.iter().filter(|h| h.host.as_str() != dead).cloned().collect();
         });
     }
 
-    /// Takes the platform away, or gives it back.
-    pub fn outage(&self, down: bool) {
+    /// Starts or ends an outage of the platform.
+    pub fn set_outage(&self, down: bool) {
         match &self.backend {
             Backend::Memory(store) => store.set_faults(MemFaults { down, ..MemFaults::default() }),
             Backend::Loopback(platform) => {
@@ -221,12 +222,12 @@
 
     pub fn calls(&self) -> Calls {
         let read = |count: &AtomicU64| count.load(Ordering::Relaxed);
-        let Counted { writes, reads, bytes, .. } = self.counted.as_ref();
+        let CountingApi { writes, reads, bytes, .. } = self.counting_api.as_ref();
         Calls { writes: read(writes), reads: read(reads), bytes: read(bytes) }
     }
 }
 
-fn local() -> SocketAddr {
+fn loopback_any_port() -> SocketAddr {
     SocketAddr::from(([127, 0, 0, 1], 0))
 }
 
@@ -242,38 +243,39 @@
     mutex.lock().unwrap_or_else(PoisonError::into_inner)
 }
 
-/// Virtual where tokio's time is.
+/// Clock that follows tokio's time, and so is virtual where tokio's time is paused.
 struct TokioClock(Instant);
 
 impl Clock for TokioClock {
     fn now(&self) -> Ms {
-        EPOCH + Ms(self.0.elapsed().as_millis() as u64)
+        CLOCK_START + Ms(self.0.elapsed().as_millis() as u64)
     }
 }
 
-struct Roll(Mutex<Arc<[ViewHost]>>);
+/// View of the fleet that all hosts share.
+struct SharedView(Mutex<Arc<[ViewHost]>>);
 
-impl Default for Roll {
+impl Default for SharedView {
     fn default() -> Self {
         Self(Mutex::new(Arc::from([])))
     }
 }
 
-impl View for Roll {
+impl View for SharedView {
     fn hosts(&self) -> Arc<[ViewHost]> {
         lock(&self.0).clone()
     }
 }
 
-/// Counts calls and written bytes.
-struct Counted {
+/// An object API that counts calls and written bytes.
+struct CountingApi {
     inner: Arc<dyn Api>,
     writes: AtomicU64,
     reads: AtomicU64,
     bytes: AtomicU64,
 }
 
-impl Counted {
+impl CountingApi {
     fn new(inner: Arc<dyn Api>) -> Self {
         let zero = AtomicU64::default;
         Self { inner, writes: zero(), reads: zero(), bytes: zero() }
@@ -281,7 +283,7 @@
 }
 
 #[async_trait]
-impl Api for Counted {
+impl Api for CountingApi {
     async fn get(&self, kind: &str, name: &str) -> Result<Option<Object>, StoreError> {
         self.reads.fetch_add(1, Ordering::Relaxed);
         self.inner.get(kind, name).await
@@ -309,49 +311,49 @@
     }
 }
 
-/// Links between hosts in memory.
+/// Network between hosts in memory.
 #[derive(Default)]
-struct Net {
-    serves: Mutex<Vec<Option<Arc<dyn PeerHandler>>>>,
+struct MemoryNetwork {
+    handlers: Mutex<Vec<Option<Arc<dyn PeerHandler>>>>,
 }
 
-impl Net {
-    async fn reach(&self, to: SocketAddr) -> Arc<dyn PeerHandler> {
-        sleep(HOP.duration()).await;
-        let serves = lock(&self.serves)[usize::from(to.port()) - 1].clone();
-        match serves {
-            Some(serves) => serves,
+impl MemoryNetwork {
+    async fn handler(&self, to: SocketAddr) -> Arc<dyn PeerHandler> {
+        sleep(HOP_DELAY.duration()).await;
+        let handler = lock(&self.handlers)[usize::from(to.port()) - 1].clone();
+        match handler {
+            Some(handler) => handler,
             None => std::future::pending().await,
         }
     }
 }
 
 #[async_trait]
-impl Peers for Net {
+impl Peers for MemoryNetwork {
     async fn exchange(&self, _: SocketAddr, _: Exchange) -> Result<Exchange, PeerError> {
         Err(PeerError::Unreachable)
     }
 
     async fn claim(&self, to: SocketAddr, claim: Claim) -> Result<Grant, PeerError> {
-        let call = async { self.reach(to).await.claim(claim).await };
-        let grant = tokio::time::timeout(SILENCE.duration(), call).await;
-        sleep(HOP.duration()).await;
+        let call = async { self.handler(to).await.claim(claim).await };
+        let grant = tokio::time::timeout(CALL_TIMEOUT.duration(), call).await;
+        sleep(HOP_DELAY.duration()).await;
         grant.map_err(|_| PeerError::Silent)
     }
 
     async fn finish(&self, to: SocketAddr, finish: Finish) -> Result<bool, PeerError> {
-        let call = async { self.reach(to).await.finish(finish).await };
-        let done = tokio::time::timeout(SILENCE.duration(), call).await;
-        sleep(HOP.duration()).await;
+        let call = async { self.handler(to).await.finish(finish).await };
+        let done = tokio::time::timeout(CALL_TIMEOUT.duration(), call).await;
+        sleep(HOP_DELAY.duration()).await;
         done.map_err(|_| PeerError::Silent)
     }
 }
 
-/// The answering side of a sharded journal.
-struct Serving(Arc<Sharded>);
+/// Peer handler of a sharded journal.
+struct ShardedHandler(Arc<Sharded>);
 
 #[async_trait]
-impl PeerHandler for Serving {
+impl PeerHandler for ShardedHandler {
     async fn exchange(&self, _: Exchange) -> Exchange {
         Exchange::default()
     }
@@ -365,11 +367,11 @@
     }
 }
 
-/// The answering side of a design whose hosts don't ask each other.
-struct Nothing;
+/// Peer handler for a design whose hosts do not call each other.
+struct NoPeerCalls;
 
 #[async_trait]
-impl PeerHandler for Nothing {
+impl PeerHandler for NoPeerCalls {
     async fn exchange(&self, _: Exchange) -> Exchange {
         Exchange::default()
     }
--- a/bins/siskinwheel-bench/src/main.rs
+++ b/bins/siskinwheel-bench/src/main.rs
@@ -1,4 +1,4 @@
-//! Load and experiment tool: `siskinwheel-bench path|policy|stages|cold|journal|fleet|replay|capacity`.
+//! Benchmarks and simulations: `siskinwheel-bench path|policy|stages|cold|journal|fleet|replay|capacity`.
 
 mod ablation;
 mod capacity;
@@ -24,15 +24,15 @@
 const HELP: &str = "\
 Usage: siskinwheel-bench COMMAND [--seeds N] [--json] [--plot FILE.svg] [options]
 
-Commands: see each one's --help.
-  capacity slopes that the full size is worked out from
-  fleet    configuration, membership and leaving at several sizes, in virtual time
-  path     what an entry host adds over calling the stand-in directly
-  policy   patterns of load by policy, in virtual time; the time of a decision
-  stages   who fills the calls of stage targets, in virtual time
-  cold     how hosts keep together to what a cold target stands, in virtual time
-  journal  running a key at most once: writes, latency, recovery, outage, by design
-  replay   what a host does on a file of events";
+Commands (each has its own --help):
+  capacity growth of resource use with size, extrapolated to the full size
+  fleet    configuration, membership and leaving targets by fleet size, in virtual time
+  path     latency that an entry host adds over calling a fake target directly
+  policy   load patterns by policy, in virtual time; the time of a decision
+  stages   designs for batching the calls to stage targets, in virtual time
+  cold     designs that limit the load of all hosts on a cold target, in virtual time
+  journal  designs that run a key at most once: writes, latency, recovery, outage
+  replay   effects of a host on a recorded file of events";
 
 fn main() -> ExitCode {
     match run() {
@@ -75,8 +75,8 @@
     Ok(ExitCode::SUCCESS)
 }
 
-/// Refuses what no option took.
-fn finish(args: Arguments) -> Result<()> {
+/// Fails if an argument is left over that no option has taken.
+fn reject_unknown(args: Arguments) -> Result<()> {
     match args.finish().as_slice() {
         [] => Ok(()),
         rest => bail!("unknown arguments {rest:?}; see --help"),
--- a/bins/siskinwheel-bench/src/path.rs
+++ b/bins/siskinwheel-bench/src/path.rs
@@ -1,5 +1,5 @@
-//! `path`: what an entry host adds over calling the stand-in directly, requests a second on two
-//! cores, and resident memory.
+//! `siskinwheel-bench path`: latency that an entry host adds over calling a fake target directly,
+//! requests per second on two cores, and resident memory.
 
 use anyhow::{Context, Result};
 use base::Ms;
@@ -17,22 +17,22 @@
 use std::time::{Duration, Instant};
 use wire::StageCall;
 
-use crate::finish;
-use crate::process::resident;
+use crate::process::resident_mb;
+use crate::reject_unknown;
 use crate::report::{Output, Table};
 use crate::stats::Spread;
 
 pub const HELP: &str = "\
 Usage: siskinwheel-bench path [--repeats N] [--requests N] [--threads N] [--rate N] [--json]
 
-Stand-ins, one entry host and callers in this process on loopback. Direct calls and calls through
-the host take turns in each repeat. `--threads` bounds the cores of the host and the stand-ins
-together (default 2); callers have their own.";
+Runs the fake platform and targets, one entry host and callers in this process on loopback. Each
+repeat measures direct calls and calls through the host in turn. `--threads` limits the cores of the
+host and the fake servers together (default 2); callers have their own.";
 
-/// Answers larger than this fail the run, bytes.
-const ANSWER_BYTES: usize = 1 << 20;
-/// Bound on silence of a call.
-const SILENCE: Ms = Ms::secs(10);
+/// An answer larger than this fails the run.
+const MAX_ANSWER_BYTES: usize = 1 << 20;
+/// A call fails after this long without data.
+const SILENCE_TIMEOUT: Ms = Ms::secs(10);
 
 struct Sizes {
     repeats: usize,
@@ -49,43 +49,50 @@
         threads: args.opt_value_from_str("--threads")?.unwrap_or(2),
         rate: args.opt_value_from_str("--rate")?.unwrap_or(2_000),
     };
-    finish(args)?;
+    reject_unknown(args)?;
     let served = runtime(sizes.threads)?;
     let callers = runtime(2)?;
-    let cluster = served.block_on(start())?;
-    let memory_idle = resident()?;
+    let cluster = served.block_on(start_cluster())?;
+    let memory_idle = resident_mb()?;
     let host = cluster.hosts[0].listen();
-    let stand_in = cluster.targets["echo-1"].addr();
+    let fake_target = cluster.targets["echo-1"].addr();
     let bar = ProgressBar::new(sizes.repeats as u64).with_message("repeats");
-    let mut added = [Added::default(), Added::default()];
+    let mut added = [AddedLatency::default(), AddedLatency::default()];
     let mut open = Vec::new();
     for _ in 0..sizes.repeats {
         for (stages, added) in [1, 4].into_iter().zip(&mut added) {
-            let direct = callers.block_on(in_turn(stand_in, direct(), sizes.requests, stages))?;
-            let through = callers.block_on(in_turn(host, through(stages), sizes.requests, 1))?;
+            let direct = callers.block_on(sequential(
+                fake_target,
+                direct_request(),
+                sizes.requests,
+                stages,
+            ))?;
+            let through =
+                callers.block_on(sequential(host, host_request(stages), sizes.requests, 1))?;
             added.record(&direct, &through);
         }
-        open.push(callers.block_on(open_loop(host, through(1), &sizes))?);
+        open.push(callers.block_on(open_loop(host, host_request(1), &sizes))?);
         bar.inc(1);
     }
     bar.finish_and_clear();
     let rates: Result<Vec<f64>> = (0..sizes.repeats)
-        .map(|_| callers.block_on(closed_loop(host, through(1), sizes.requests * 10)))
+        .map(|_| callers.block_on(closed_loop(host, host_request(1), sizes.requests * 10)))
         .collect();
-    let memory_loaded = resident()?;
+    let memory_loaded = resident_mb()?;
     output.tables(&tables(&sizes, &added, &open, &rates?, memory_idle, memory_loaded))?;
     served.block_on(cluster.close());
     Ok(())
 }
 
+/// Latencies in ms, one value per repeat: direct, and what the host adds.
 #[derive(Default)]
-struct Added {
+struct AddedLatency {
     median: Vec<f64>,
     p99: Vec<f64>,
     direct: Vec<f64>,
 }
 
-impl Added {
+impl AddedLatency {
     fn record(&mut self, direct: &Histogram<u64>, through: &Histogram<u64>) {
         let at = |h: &Histogram<u64>, q| h.value_at_quantile(q) as f64 / 1e6;
         self.direct.push(at(direct, 0.5));
@@ -99,7 +106,7 @@
     builder.worker_threads(threads).enable_all().build().context("starting a runtime")
 }
 
-async fn start() -> Result<Cluster> {
+async fn start_cluster() -> Result<Cluster> {
     let stages = |n: usize| {
         let one = |i| format!("{{name: s{i}, pool: echo, typical_ms: 2}}");
         (1..=n).map(one).collect::<Vec<_>>().join(", ")
@@ -118,12 +125,12 @@
     Ok(Cluster::start(Fleet::parse(&fleet)?, options).await?)
 }
 
-fn direct() -> Request<Bytes> {
+fn direct_request() -> Request<Bytes> {
     let call = StageCall { request: "r".into(), stage: "s".into(), ..StageCall::default() };
     post("/v1/stage", &serde_json::to_vec(&call).unwrap_or_default())
 }
 
-fn through(stages: usize) -> Request<Bytes> {
+fn host_request(stages: usize) -> Request<Bytes> {
     let pipeline = format!("p{stages}");
     let asking = Asking { pipeline: &pipeline, workspace: "w", input: "x", headers: &[] };
     asking.request()
@@ -137,8 +144,8 @@
     request
 }
 
-/// One caller, one request after the other; each sample is `calls` of them.
-async fn in_turn(
+/// Sends requests one after the other from one caller; each sample is the time of `calls` of them.
+async fn sequential(
     addr: SocketAddr,
     request: Request<Bytes>,
     requests: usize,
@@ -149,9 +156,9 @@
     for i in 0..requests + requests / 10 {
         let start = Instant::now();
         for _ in 0..calls {
-            ask(&pool, request.clone()).await?;
+            send(&pool, request.clone()).await?;
         }
-        // The first tenth warms connections and caches.
+        // The first samples warm up connections and caches and are not recorded.
         if i >= requests / 10 {
             times.record(start.elapsed().as_nanos() as u64)?;
         }
@@ -159,7 +166,8 @@
     Ok(times)
 }
 
-/// Arrivals at a fixed rate, whatever the answers do; latency counts from the intended time.
+/// Sends requests at a fixed rate, regardless of the answers; latency counts from the intended send
+/// time.
 async fn open_loop(
     addr: SocketAddr,
     request: Request<Bytes>,
@@ -174,7 +182,7 @@
         tokio::time::sleep_until(due.into()).await;
         let (pool, request) = (pool.clone(), request.clone());
         open.spawn(async move {
-            ask(&pool, request).await?;
+            send(&pool, request).await?;
             anyhow::Ok(due.elapsed().as_nanos() as u64)
         });
     }
@@ -185,7 +193,7 @@
     Ok(times)
 }
 
-/// Requests a second with 64 callers that each wait for their answer.
+/// Measures requests per second with 64 callers that each wait for their answer.
 async fn closed_loop(addr: SocketAddr, request: Request<Bytes>, requests: usize) -> Result<f64> {
     let left = Arc::new(AtomicU64::new(requests as u64));
     let start = Instant::now();
@@ -195,7 +203,7 @@
         callers.spawn(async move {
             let pool = Pool::new(addr, PoolConfig::default());
             while left.fetch_sub(1, Ordering::Relaxed).wrapping_sub(1) < requests as u64 {
-                ask(&pool, request.clone()).await?;
+                send(&pool, request.clone()).await?;
             }
             anyhow::Ok(())
         });
@@ -206,11 +214,11 @@
     Ok(requests as f64 / start.elapsed().as_secs_f64())
 }
 
-async fn ask(pool: &Pool, request: Request<Bytes>) -> Result<()> {
-    let response = link::call(pool, request, SILENCE, ANSWER_BYTES).await?;
+async fn send(pool: &Pool, request: Request<Bytes>) -> Result<()> {
+    let response = link::call(pool, request, SILENCE_TIMEOUT, MAX_ANSWER_BYTES).await?;
     anyhow::ensure!(
         response.status() == StatusCode::OK,
-        "refused: {}",
+        "request refused: {}",
         String::from_utf8_lossy(response.body())
     );
     Ok(())
@@ -218,7 +226,7 @@
 
 fn tables(
     sizes: &Sizes,
-    added: &[Added],
+    added: &[AddedLatency],
     open: &[Histogram<u64>],
     rates: &[f64],
     idle: f64,
@@ -244,7 +252,7 @@
     };
     let load = Table {
         title: format!(
-            "one stage, host and stand-in on {threads} threads; open loop at {rate}/s, closed \
+            "one stage, host and fake target on {threads} threads; open loop at {rate}/s, closed \
              loop with 64 callers; memory is this whole process's"
         ),
         columns: columns(&[
--- a/bins/siskinwheel-bench/src/policy.rs
+++ b/bins/siskinwheel-bench/src/policy.rs
@@ -1,5 +1,5 @@
-//! `siskinwheel-bench policy`: patterns of load by policy in virtual time, and the time that a
-//! decision takes.
+//! `siskinwheel-bench policy`: simulates load patterns under each policy in virtual time, and
+//! measures the time of a decision.
 
 use anyhow::{Context, Result};
 use indicatif::{ProgressBar, ProgressStyle};
@@ -10,7 +10,7 @@
 
 use crate::report::{Output, Table};
 use crate::stats::Spread;
-use crate::{ablation, decide, finish, sweep};
+use crate::{ablation, decide, reject_unknown, sweep};
 
 pub const HELP: &str = "\
 Usage: siskinwheel-bench policy [--seeds N] [--pattern P] [--deployment D] [--policies A,B]
@@ -19,20 +19,21 @@
        siskinwheel-bench policy --time [--plot FILE.svg] [--json]
        siskinwheel-bench policy --record FILE [--pattern P] [--deployment D]
 
-Plays each pattern of load in virtual time and prints what callers get, by policy: naive, full,
-and full without one decision (-admit, -fair, ...). Median and spread over the seeds 1 to N.
+Simulates each load pattern in virtual time and prints the service that callers get, by policy:
+naive, full, and full with one decision disabled (-admit, -fair, ...). Median and range over the
+seeds 1 to N.
 
   --seeds N        repeats, default 10
-  --pattern P      one pattern; all when missing
-  --deployment D   cooperative or casing-and-quill; both when missing
-  --policies A,B   only these, such as naive,full,-route; all when missing
-  --sweep          naive and full at growing load instead
-  --slots N        requests that an engine batches, default 8
+  --pattern P      only this pattern; default all
+  --deployment D   cooperative or casing-and-quill; default both
+  --policies A,B   only these, such as naive,full,-route; default all
+  --sweep          run naive and full at growing load instead
+  --slots N        requests that an engine runs in one batch, default 8
   --hosts N        entry hosts in each failure domain, default 2
   --time           measure the time of a decision instead, at growing sizes
   --record FILE    write the events of one host of one run for `replay`";
 
-/// Seeds played at once. Time is virtual, so it changes no figure.
+/// Seeds simulated in parallel. Time is virtual, so the number does not affect the results.
 const THREADS: usize = 4;
 
 const COLUMNS: [&str; 15] = [
@@ -60,16 +61,16 @@
         return Ok(());
     }
     let seeds: u64 = args.opt_value_from_str("--seeds")?.unwrap_or(10);
-    let pattern = args.opt_value_from_fn("--pattern", pattern)?;
-    let deployment = args.opt_value_from_fn("--deployment", deployment)?;
-    let policies = args.opt_value_from_fn("--policies", policies)?;
+    let pattern = args.opt_value_from_fn("--pattern", parse_pattern)?;
+    let deployment = args.opt_value_from_fn("--deployment", parse_deployment)?;
+    let policies = args.opt_value_from_fn("--policies", parse_policies)?;
     let record: Option<PathBuf> = args.opt_value_from_str("--record")?;
     let mut times = Times::default();
     times.engine_slots = args.opt_value_from_str("--slots")?.unwrap_or(times.engine_slots);
     times.hosts = args.opt_value_from_str("--hosts")?.unwrap_or(times.hosts);
     let time = args.contains("--time");
-    let grow = args.contains("--sweep");
-    finish(args)?;
+    let run_sweep = args.contains("--sweep");
+    reject_unknown(args)?;
     if let Some(path) = record {
         let deployment = deployment.unwrap_or(Deployment::Cooperative);
         return self::record(&path, pattern.unwrap_or(Pattern::Steady), deployment);
@@ -77,7 +78,7 @@
     if time {
         return decide::run(output);
     }
-    if grow {
+    if run_sweep {
         return sweep::run(deployment.unwrap_or(Deployment::Cooperative), seeds, output);
     }
     let patterns = pattern.map_or(Pattern::ALL.to_vec(), |p| vec![p]);
@@ -88,33 +89,34 @@
     bar.set_style(ProgressStyle::with_template("{bar:40} {pos}/{len} {eta} {msg}")?);
     let mut tables = Vec::new();
     for deployment in deployments {
-        let model = deployment.timed(times.clone()).context("reading the example")?;
+        let model = deployment.timed(times.clone()).context("reading the example configuration")?;
         let name = deployment.as_str();
-        let mut played = Vec::new();
+        let mut outcomes = Vec::new();
         for &pattern in &patterns {
             bar.set_message(format!("{name}, {}", pattern.as_str()));
-            let runs = policies.iter().map(|&policy| play(&model, pattern, policy, seeds, &bar));
+            let runs =
+                policies.iter().map(|&policy| run_seeds(&model, pattern, policy, seeds, &bar));
             let runs: Vec<Vec<Outcome>> = runs.collect();
             tables.push(Table {
                 title: format!("{name}, {}: 60 s, seeds 1 to {seeds}", pattern.as_str()),
                 columns: COLUMNS.map(str::to_owned).to_vec(),
                 rows: policies.iter().zip(&runs).map(|(&p, runs)| row(p, runs)).collect(),
             });
-            played.push(runs);
+            outcomes.push(runs);
         }
-        for figure in FIGURES {
-            tables.push(matrix(name, figure, &patterns, &policies, &played));
+        for metric in METRICS {
+            tables.push(metric_table(name, metric, &patterns, &policies, &outcomes));
         }
-        tables.push(ablation::table(name, &patterns, &policies, &played));
+        tables.push(ablation::table(name, &patterns, &policies, &outcomes));
     }
     bar.finish_and_clear();
     output.tables(&tables)
 }
 
-/// What is told of an outcome in a table of patterns by policy.
-type Figure = (&'static str, usize, fn(&Outcome) -> f64);
+/// Name, decimal places and value of a metric in a table of patterns by policy.
+type Metric = (&'static str, usize, fn(&Outcome) -> f64);
 
-const FIGURES: [Figure; 6] = [
+const METRICS: [Metric; 6] = [
     ("attained %", 2, |o| o.attainment * 100.0),
     ("small ws %", 1, |o| o.small_spaces() * 100.0),
     ("p99 ms", 0, |o| o.latency.p99 as f64),
@@ -123,15 +125,15 @@
     ("cross MB", 1, |o| o.cross_bytes as f64 / 1e6),
 ];
 
-fn matrix(
+fn metric_table(
     name: &str,
-    (what, digits, figure): Figure,
+    (what, digits, metric): Metric,
     patterns: &[Pattern],
     policies: &[Policy],
-    played: &[Vec<Vec<Outcome>>],
+    outcomes: &[Vec<Vec<Outcome>>],
 ) -> Table {
     let median = |runs: &Vec<Outcome>| {
-        let values: Vec<f64> = runs.iter().map(figure).collect();
+        let values: Vec<f64> = runs.iter().map(metric).collect();
         format!("{:.digits$}", Spread::of(&values).median)
     };
     let columns = policies.iter().map(|p| p.name());
@@ -141,11 +143,11 @@
     Table {
         title: format!("{name}: {what}, median"),
         columns: ["pattern".to_owned()].into_iter().chain(columns).collect(),
-        rows: patterns.iter().zip(played).map(row).collect(),
+        rows: patterns.iter().zip(outcomes).map(row).collect(),
     }
 }
 
-fn play(
+fn run_seeds(
     model: &Model,
     pattern: Pattern,
     policy: Policy,
@@ -153,19 +155,19 @@
     bar: &ProgressBar,
 ) -> Vec<Outcome> {
     let script = pattern.script();
-    let one = |seed| {
+    let simulate = |seed| {
         let outcome = model::run(Run { model, script: &script, policy, seed });
         bar.inc(1);
         outcome
     };
     let mut out: Vec<Option<Outcome>> = (0..seeds).map(|_| None).collect();
-    let part = out.len().div_ceil(THREADS).max(1);
+    let chunk_len = out.len().div_ceil(THREADS).max(1);
     std::thread::scope(|scope| {
-        for (i, chunk) in out.chunks_mut(part).enumerate() {
-            let one = &one;
+        for (i, chunk) in out.chunks_mut(chunk_len).enumerate() {
+            let simulate = &simulate;
             scope.spawn(move || {
                 for (j, slot) in chunk.iter_mut().enumerate() {
-                    *slot = Some(one((i * part + j) as u64 + 1));
+                    *slot = Some(simulate((i * chunk_len + j) as u64 + 1));
                 }
             });
         }
@@ -173,8 +175,8 @@
     out.into_iter().flatten().collect()
 }
 
-/// Median cost of each stage for a thousand answers in time, the dearest first.
-fn stages(outcomes: &[Outcome]) -> String {
+/// Median cost of each stage per thousand answers in time, most expensive first.
+fn stage_costs(outcomes: &[Outcome]) -> String {
     let names: BTreeSet<&str> =
         outcomes.iter().flat_map(|o| &o.stages).map(|s| s.stage.as_str()).collect();
     let median = |name: &str| {
@@ -208,14 +210,14 @@
         spread(2, &|o| o.attempts as f64 / o.calls as f64),
         spread(0, &|o| o.cached * 100.0),
         spread(0, &|o| o.unit_cost() * 1000.0),
-        stages(outcomes),
+        stage_costs(outcomes),
         spread(1, &|o| o.cross_bytes as f64 / 1e6),
         spread(0, &|o| o.crashes as f64),
     ]
 }
 
 fn record(path: &Path, pattern: Pattern, deployment: Deployment) -> Result<()> {
-    let model = deployment.model().context("reading the example's configuration")?;
+    let model = deployment.model().context("reading the example configuration")?;
     let script = pattern.script();
     let lines = Run { model: &model, script: &script, policy: Policy::Full, seed: 1 }.record();
     let mut text = String::new();
@@ -226,18 +228,22 @@
     std::fs::write(path, text).with_context(|| format!("writing {}", path.display()))
 }
 
-fn pattern(name: &str) -> Result<Pattern, String> {
+fn parse_pattern(name: &str) -> Result<Pattern, String> {
     let names = Pattern::ALL.map(Pattern::as_str).join(", ");
-    Pattern::named(name).ok_or_else(|| format!("no pattern '{name}'; one of {names}"))
+    Pattern::named(name).ok_or_else(|| format!("unknown pattern '{name}'; expected one of {names}"))
 }
 
-fn deployment(name: &str) -> Result<Deployment, String> {
+fn parse_deployment(name: &str) -> Result<Deployment, String> {
     let names = Deployment::ALL.map(Deployment::as_str).join(", ");
-    Deployment::named(name).ok_or_else(|| format!("no deployment '{name}'; one of {names}"))
+    Deployment::named(name)
+        .ok_or_else(|| format!("unknown deployment '{name}'; expected one of {names}"))
 }
 
-fn policies(names: &str) -> Result<Vec<Policy>, String> {
+fn parse_policies(names: &str) -> Result<Vec<Policy>, String> {
     let all = || Policy::all().into_iter().map(Policy::name).collect::<Vec<_>>().join(", ");
-    let one = |name| Policy::named(name).ok_or_else(|| format!("no policy '{name}'; of {}", all()));
+    let one = |name| {
+        Policy::named(name)
+            .ok_or_else(|| format!("unknown policy '{name}'; expected one of {}", all()))
+    };
     names.split(',').map(one).collect()
 }
--- a/bins/siskinwheel-bench/src/report.rs
+++ b/bins/siskinwheel-bench/src/report.rs
@@ -1,4 +1,4 @@
-//! Tables for people, JSON for machines, plots as SVG.
+//! Output of results: tables as text or JSON, and plots as SVG.
 #![allow(dead_code)]
 
 use anyhow::{Context, Result};
@@ -8,53 +8,53 @@
 use serde::Serialize;
 use std::path::PathBuf;
 
-/// Where results go.
+/// Output options of a command.
 #[derive(Clone, Debug)]
 pub struct Output {
     json: bool,
     plot: Option<PathBuf>,
 }
 
-/// A result.
+/// A table of results.
 #[derive(Clone, Debug, Serialize)]
 pub struct Table {
-    /// What it shows, with the command's sizes and seeds.
+    /// Title, with the sizes and seeds of the run.
     pub title: String,
-    /// Names of the columns, with units.
+    /// Column names, with units.
     pub columns: Vec<String>,
-    /// Rows of the columns' values.
+    /// Rows with line value per column.
     pub rows: Vec<Vec<String>>,
 }
 
-/// Points to plot under one name.
+/// A named line of a plot.
 #[derive(Clone, Debug, Serialize)]
 pub struct Series {
-    /// Its name.
+    /// Name shown in the legend.
     pub name: String,
-    /// Its points.
+    /// Points as `(x, y)`.
     pub points: Vec<(f64, f64)>,
 }
 
-/// A plot's axes.
+/// Title and axis labels of a plot.
 #[derive(Clone, Debug, Serialize)]
 pub struct Axes {
-    /// What it shows.
+    /// Title of the plot.
     pub title: String,
-    /// Across, with the unit.
+    /// Label of the horizontal axis, with the unit.
     pub x: String,
-    /// Up, with the unit.
+    /// Label of the vertical axis, with the unit.
     pub y: String,
 }
 
 impl Output {
-    /// Takes `--json` and `--plot FILE`.
+    /// Takes `--json` and `--plot FILE` out of the arguments.
     pub fn take(args: &mut Arguments) -> Result<Self> {
         let json = args.contains("--json");
         let plot = args.opt_value_from_str("--plot")?;
         Ok(Self { json, plot })
     }
 
-    /// Prints tables.
+    /// Prints the tables, as JSON with `--json`.
     pub fn tables(&self, tables: &[Table]) -> Result<()> {
         if self.json {
             println!("{}", serde_json::to_string_pretty(tables)?);
@@ -70,11 +70,11 @@
         Ok(())
     }
 
-    /// Draws lines, if a plot is asked for.
+    /// Writes the lines as an SVG plot, if `--plot` was given.
     pub fn plot(&self, axes: &Axes, series: &[Series]) -> Result<()> {
         let Some(path) = &self.plot else { return Ok(()) };
         let points = || series.iter().flat_map(|s| &s.points);
-        let (x, y) = (range(points().map(|p| p.0)), range(points().map(|p| p.1)));
+        let (x, y) = (axis_range(points().map(|p| p.0)), axis_range(points().map(|p| p.1)));
         let area = SVGBackend::new(path, (800, 480)).into_drawing_area();
         area.fill(&WHITE).context("drawing")?;
         let mut chart = ChartBuilder::on(&area)
@@ -85,12 +85,12 @@
             .build_cartesian_2d(x, y)
             .context("drawing")?;
         chart.configure_mesh().x_desc(&axes.x).y_desc(&axes.y).draw().context("drawing")?;
-        for (i, one) in series.iter().enumerate() {
+        for (i, line) in series.iter().enumerate() {
             let color = Palette99::pick(i).to_rgba();
             chart
-                .draw_series(LineSeries::new(one.points.iter().copied(), &color))
+                .draw_series(LineSeries::new(line.points.iter().copied(), &color))
                 .context("drawing")?
-                .label(&one.name)
+                .label(&line.name)
                 .legend(move |(x, y)| PathElement::new([(x, y), (x + 16, y)], color));
         }
         chart.configure_series_labels().border_style(BLACK).draw().context("drawing")?;
@@ -98,7 +98,7 @@
     }
 }
 
-fn range(values: impl Iterator<Item = f64>) -> std::ops::Range<f64> {
-    let most = values.fold(0.0, f64::max);
-    0.0..if most > 0.0 { most * 1.05 } else { 1.0 }
+fn axis_range(values: impl Iterator<Item = f64>) -> std::ops::Range<f64> {
+    let max = values.fold(0.0, f64::max);
+    0.0..if max > 0.0 { max * 1.05 } else { 1.0 }
 }
--- a/bins/siskinwheel-bench/src/stages.rs
+++ b/bins/siskinwheel-bench/src/stages.rs
@@ -1,22 +1,24 @@
-//! `siskinwheel-bench stages`: who fills the calls of stage targets, by design, in virtual time.
+//! `siskinwheel-bench stages`: compares designs that differ in who batches the calls to stage
+//! targets, in virtual time.
 
 use anyhow::Result;
 use model::stages::{DAY, Design, Fault, KINDS, Load, Served, play};
 use pico_args::Arguments;
 
-use crate::finish;
+use crate::reject_unknown;
 use crate::report::{Axes, Output, Series, Table};
 use crate::stats::Spread;
 
 pub const HELP: &str = "\
 Usage: siskinwheel-bench stages [--seeds N] [--hosts A,B] [--faults] [--json] [--plot FILE.svg]
 
-Plays requests whose stages are made in batches, in virtual time, and prints the share of them that
-is in time, by design: median and spread over the seeds 1 to N.
+Simulates requests whose stages run in batches, in virtual time, and prints the share of requests
+that is answered in time, by design: median and range over the seeds 1 to N.
 
   --seeds N     repeats, default 10
-  --hosts A,B   entry hosts, default 6,30,86
-  --faults      faults at ordinary load on the first number of hosts, instead of growing load";
+  --hosts A,B   numbers of entry hosts, default 6,30,86
+  --faults      inject faults at normal load with the first number of hosts, instead of growing
+                the load";
 
 const DESIGNS: [(Design, &str); 6] = [
     (Design::Single, "single calls"),
@@ -27,8 +29,8 @@
     (Design::Composer, "composer"),
 ];
 
-/// Ordinary load, and bursts.
-const FACTORS: [f64; 4] = [0.5, 1.0, 1.7, 2.3];
+/// Load as a multiple of normal load: half, normal and two bursts.
+const LOAD_FACTORS: [f64; 4] = [0.5, 1.0, 1.7, 2.3];
 
 const FAULTS: [(Fault, &str); 5] = [
     (Fault::None, "none"),
@@ -53,9 +55,10 @@
 /// Runs the command.
 pub fn run(mut args: Arguments, output: &Output) -> Result<()> {
     let seeds: u64 = args.opt_value_from_str("--seeds")?.unwrap_or(10);
-    let hosts = args.opt_value_from_fn("--hosts", numbers)?.unwrap_or_else(|| vec![6, 30, 86]);
+    let hosts =
+        args.opt_value_from_fn("--hosts", parse_host_counts)?.unwrap_or_else(|| vec![6, 30, 86]);
     let faults = args.contains("--faults");
-    finish(args)?;
+    reject_unknown(args)?;
     let mut rows = Vec::new();
     let mut lines = Vec::new();
     let loads: Vec<(Load, &str)> = match faults {
@@ -64,7 +67,7 @@
             FAULTS.map(|(fault, name)| (load(fault), name)).to_vec()
         }
         false => {
-            let all = hosts.iter().flat_map(|h| FACTORS.map(|f| (*h, f)));
+            let all = hosts.iter().flat_map(|h| LOAD_FACTORS.map(|f| (*h, f)));
             all.map(|(hosts, factor)| (Load { hosts, factor, fault: Fault::None }, "none"))
                 .collect()
         }
@@ -73,20 +76,22 @@
         let worths = add_rows(&mut rows, load, fault, seeds);
         lines.push((load.hosts, load.factor, worths));
     }
-    let title = format!("Stages in batches, days of {} s, seeds 1 to {seeds}", DAY.0 / 1000);
+    let title = format!("Batched stages, days of {} s, seeds 1 to {seeds}", DAY.0 / 1000);
     output.tables(&[Table { title, columns: COLUMNS.map(str::to_owned).to_vec(), rows }])?;
     plot(output, &lines)
 }
 
-fn numbers(text: &str) -> Result<Vec<usize>, String> {
+fn parse_host_counts(text: &str) -> Result<Vec<usize>, String> {
     let all: Result<Vec<usize>, _> = text.split(',').map(str::parse).collect();
     match all {
         Ok(all) if !all.contains(&0) => Ok(all),
-        _ => Err(format!("'{text}': give numbers of hosts from 1 up, such as 6,30")),
+        _ => Err(format!(
+            "invalid numbers of hosts '{text}'; expected numbers from 1 up, such as 6,30"
+        )),
     }
 }
 
-/// One row for each design. Gives the worth in time a second of each.
+/// Adds one row for each design. Returns the worth served in time per second of each design.
 fn add_rows(rows: &mut Vec<Vec<String>>, load: Load, fault: &str, seeds: u64) -> Vec<f64> {
     let days: Vec<Vec<Served>> = DESIGNS
         .iter()
@@ -127,15 +132,15 @@
 }
 
 fn plot(output: &Output, lines: &[(usize, f64, Vec<f64>)]) -> Result<()> {
-    let most = lines.iter().map(|(hosts, ..)| *hosts).max().unwrap_or(0);
+    let max_hosts = lines.iter().map(|(hosts, ..)| *hosts).max().unwrap_or(0);
     let line = |i: usize| Series {
         name: DESIGNS[i].1.to_owned(),
-        points: lines.iter().filter(|l| l.0 == most).map(|l| (l.1, l.2[i])).collect(),
+        points: lines.iter().filter(|l| l.0 == max_hosts).map(|l| (l.1, l.2[i])).collect(),
     };
     let series: Vec<Series> = (0..DESIGNS.len()).map(line).collect();
     let axes = Axes {
-        title: format!("Worth served in time, {most} hosts"),
-        x: "load, as a multiple of the ordinary".to_owned(),
+        title: format!("Worth served in time, {max_hosts} hosts"),
+        x: "load, as a multiple of normal load".to_owned(),
         y: "worth a second".to_owned(),
     };
     output.plot(&axes, &series)
--- a/bins/siskinwheel-bench/src/stats.rs
+++ b/bins/siskinwheel-bench/src/stats.rs
@@ -1,21 +1,21 @@
-//! Figures over repeats.
+//! Summary statistics over repeated runs.
 #![allow(dead_code)]
 
 use serde::Serialize;
 
-/// Median and spread of a figure over repeats.
+/// Median and range of a value over repeated runs.
 #[derive(Clone, Copy, Debug, PartialEq, Serialize)]
 pub struct Spread {
-    /// The middle value; of an even number, the lower one.
+    /// The median; for an even number of values, the lower of the middle two.
     pub median: f64,
-    /// The smallest.
+    /// The smallest value.
     pub least: f64,
-    /// The largest.
+    /// The largest value.
     pub most: f64,
 }
 
 impl Spread {
-    /// Of at least one value.
+    /// Summarizes at least one value; without any, all fields are NaN.
     pub fn of(values: &[f64]) -> Self {
         let mut sorted = values.to_vec();
         sorted.sort_by(f64::total_cmp);
@@ -24,26 +24,26 @@
         Self { median: at(last / 2), least: at(0), most: at(last) }
     }
 
-    /// `median (least-most)` with `digits` after the point.
+    /// Formats as `median (least-most)` with `digits` decimal places.
     pub fn show(&self, digits: usize) -> String {
         let Self { median, least, most } = self;
         format!("{median:.digits$} ({least:.digits$}-{most:.digits$})")
     }
 }
 
-/// A straight line through points, by least squares.
+/// A straight line fitted to points by least squares.
 #[derive(Clone, Copy, Debug, PartialEq, Serialize)]
 pub struct Fit {
-    /// Rise per unit.
+    /// Change of `y` per unit of `x`.
     pub slope: f64,
-    /// Value at zero.
+    /// Value of the line at `x = 0`.
     pub base: f64,
-    /// Largest distance of a point from the line, as a share of the largest value.
+    /// Largest vertical distance of a point from the line, as a share of the largest `y`.
     pub residual: f64,
 }
 
 impl Fit {
-    /// Through at least two points with different `x`.
+    /// Fits a line to at least two points that differ in `x`.
     pub fn of(points: &[(f64, f64)]) -> Self {
         let n = points.len() as f64;
         let mean = |f: fn(&(f64, f64)) -> f64| points.iter().map(f).sum::<f64>() / n;
@@ -52,12 +52,13 @@
         let sxx: f64 = points.iter().map(|(x, _)| (x - mx).powi(2)).sum();
         let slope = sxy / sxx;
         let base = my - slope * mx;
-        let most = points.iter().map(|p| p.1.abs()).fold(f64::MIN_POSITIVE, f64::max);
-        let off = points.iter().map(|(x, y)| (y - base - slope * x).abs()).fold(0.0, f64::max);
-        Self { slope, base, residual: off / most }
+        let max_abs = points.iter().map(|p| p.1.abs()).fold(f64::MIN_POSITIVE, f64::max);
+        let max_error =
+            points.iter().map(|(x, y)| (y - base - slope * x).abs()).fold(0.0, f64::max);
+        Self { slope, base, residual: max_error / max_abs }
     }
 
-    /// The line's value.
+    /// Value of the line at `x`.
     pub fn at(&self, x: f64) -> f64 {
         self.base + self.slope * x
     }
--- a/bins/siskinwheel-bench/src/sweep.rs
+++ b/bins/siskinwheel-bench/src/sweep.rs
@@ -1,4 +1,4 @@
-//! Goodput and attainment as the load grows past capacity.
+//! Simulates load that grows past capacity and reports goodput and attainment.
 
 use anyhow::{Context, Result};
 use base::Ms;
@@ -7,20 +7,20 @@
 use crate::report::{Axes, Output, Series, Table};
 use crate::stats::Spread;
 
-/// Load as a share of capacity.
-const LOADS: [f64; 9] = [0.25, 0.5, 0.75, 1.0, 1.25, 1.5, 2.0, 2.5, 3.0];
+/// Offered load as a multiple of capacity.
+const LOAD_FACTORS: [f64; 9] = [0.25, 0.5, 0.75, 1.0, 1.25, 1.5, 2.0, 2.5, 3.0];
 
-/// Plays, prints and plots.
+/// Runs the simulations, prints the table and writes the plot.
 pub fn run(deployment: Deployment, seeds: u64, output: &Output) -> Result<()> {
-    let model = deployment.model().context("reading the example's configuration")?;
+    let model = deployment.model().context("reading the example configuration")?;
     let policies = [Policy::Naive, Policy::Full];
     let (mut rows, mut lines) = (Vec::new(), Vec::new());
     for policy in policies {
         let mut points = Vec::new();
-        for load in LOADS {
+        for load in LOAD_FACTORS {
             let script = Script { load: vec![(Ms::ZERO, load)], ..Pattern::Saturation.script() };
-            let one = |seed| model::run(Run { model: &model, script: &script, policy, seed });
-            let outcomes: Vec<Outcome> = (1..=seeds).map(one).collect();
+            let simulate = |seed| model::run(Run { model: &model, script: &script, policy, seed });
+            let outcomes: Vec<Outcome> = (1..=seeds).map(simulate).collect();
             let spread =
                 |f: fn(&Outcome) -> f64| Spread::of(&outcomes.iter().map(f).collect::<Vec<_>>());
             let goodput = spread(|o| o.goodput * 100.0);
--- a/bins/siskinwheel-bench/tests/fleet.rs
+++ b/bins/siskinwheel-bench/tests/fleet.rs
@@ -1,10 +1,10 @@
-//! `fleet` gives the same times for the same seeds, and refuses what it doesn't know.
+//! `fleet` gives the same times for the same seeds, and rejects unknown arguments.
 
 use std::process::{Command, Output};
 
 fn fleet(args: &[&str]) -> Output {
     let program = env!("CARGO_BIN_EXE_siskinwheel-bench");
-    Command::new(program).arg("fleet").args(args).output().expect("it runs")
+    Command::new(program).arg("fleet").args(args).output().expect("siskinwheel-bench runs")
 }
 
 #[test]
@@ -20,6 +20,6 @@
 }
 
 #[test]
-fn unknown_arguments_are_refused() {
+fn unknown_arguments_are_rejected() {
     assert_eq!(fleet(&["--size", "6"]).status.code(), Some(1));
 }
--- a/bins/siskinwheel-bench/tests/policy.rs
+++ b/bins/siskinwheel-bench/tests/policy.rs
@@ -1,14 +1,17 @@
-//! The tables of `policy` and the effects of `replay` are the same each time.
+//! `policy` prints the same tables and `replay` the same effects each time.
 
 use std::path::PathBuf;
 use std::process::{Command, Output};
 
 fn bench(args: &[&str]) -> Output {
-    Command::new(env!("CARGO_BIN_EXE_siskinwheel-bench")).args(args).output().expect("it runs")
+    Command::new(env!("CARGO_BIN_EXE_siskinwheel-bench"))
+        .args(args)
+        .output()
+        .expect("siskinwheel-bench runs")
 }
 
 #[test]
-fn same_table_each_time() {
+fn same_seed_gives_the_same_table() {
     let args = ["policy", "--seeds", "1", "--pattern", "steady", "--policies", "naive", "--json"];
     let first = bench(&args);
     assert!(first.status.success(), "{}", String::from_utf8_lossy(&first.stderr));
@@ -29,9 +32,9 @@
 }
 
 #[test]
-fn wrong_names_are_answered_with_the_right_ones() {
-    let wrong = bench(&["policy", "--pattern", "nothing"]);
-    assert_eq!(wrong.status.code(), Some(1));
-    assert!(String::from_utf8_lossy(&wrong.stderr).contains("slow-target"));
+fn unknown_names_are_rejected_with_the_valid_ones() {
+    let unknown = bench(&["policy", "--pattern", "nothing"]);
+    assert_eq!(unknown.status.code(), Some(1));
+    assert!(String::from_utf8_lossy(&unknown.stderr).contains("slow-target"));
     assert_eq!(bench(&["replay"]).status.code(), Some(1));
 }
--- a/bins/siskinwheel-bench/tests/usage.rs
+++ b/bins/siskinwheel-bench/tests/usage.rs
@@ -1,12 +1,13 @@
-//! The program explains itself, and refuses what it doesn't know.
+//! `--help` prints the usage; wrong usage fails with exit code 2 without a command and 1 with an
+//! unknown one.
 
 use std::process::Command;
 
 #[test]
-fn help_and_wrong_usage() {
+fn help_succeeds_and_wrong_usage_fails() {
     let run = |args: &[&str]| {
         let program = env!("CARGO_BIN_EXE_siskinwheel-bench");
-        Command::new(program).args(args).output().expect("it runs")
+        Command::new(program).args(args).output().expect("siskinwheel-bench runs")
     };
     let help = run(&["--help"]);
     assert!(help.status.success());
