--- a/bins/siskinwheel-bench/src/process.rs
+++ b/bins/siskinwheel-bench/src/process.rs
@@ -1,4 +1,4 @@
-//! CPU time and resident_mb memory of this process, read from `/proc`.
+//! CPU time and resident memory of this process, read from `/proc`.
 
 use anyhow::{Context, Result};
 
--- a/bins/siskinwheel-bench/src/report.rs
+++ b/bins/siskinwheel-bench/src/report.rs
@@ -22,7 +22,7 @@
     pub title: String,
     /// Column names, with units.
     pub columns: Vec<String>,
-    /// Rows with line value per column.
+    /// Rows with one value per column.
     pub rows: Vec<Vec<String>>,
 }
 
--- a/bins/siskinwheel-bench/src/stats.rs
+++ b/bins/siskinwheel-bench/src/stats.rs
@@ -38,7 +38,7 @@
     pub slope: f64,
     /// Value of the line at `x = 0`.
     pub base: f64,
-    /// Largest vertical distance of a point from the line, as a share of the largest `y`.
+    /// Largest vertical distance of a point from the line, as a share of the largest absolute `y`.
     pub residual: f64,
 }
 
