--- a/bins/siskinwheel-bench/src/cold.rs
+++ b/bins/siskinwheel-bench/src/cold.rs
@@ -47,7 +47,8 @@
     for (design, name) in DESIGNS {
         for hosts in [6, 79, 300, 1_000] {
             for (partition, cut_name) in PARTITIONS {
-                let scenario = Scenario { hosts, rate, limit: COLD_LIMIT, partition, skew: CLOCK_SKEW_MS };
+                let scenario =
+                    Scenario { hosts, rate, limit: COLD_LIMIT, partition, skew: CLOCK_SKEW_MS };
                 let results: Vec<Figures> =
                     (1..=seeds).map(|seed| simulate(design, scenario, seed)).collect();
                 rows.push(row(name, hosts, cut_name, &results));
--- a/bins/siskinwheel-bench/src/policy.rs
+++ b/bins/siskinwheel-bench/src/policy.rs
@@ -89,7 +89,8 @@
     bar.set_style(ProgressStyle::with_template("{bar:40} {pos}/{len} {eta} {msg}")?);
     let mut tables = Vec::new();
     for deployment in deployments {
-        let model = deployment.with_times(times.clone()).context("reading the example configuration")?;
+        let model =
+            deployment.with_times(times.clone()).context("reading the example configuration")?;
         let name = deployment.as_str();
         let mut outcomes = Vec::new();
         for &pattern in &patterns {
