--- a/crates/entry/src/host.rs
+++ b/crates/entry/src/host.rs
@@ -19,8 +19,8 @@
 use crate::claims::JournalClaims;
 use crate::core::{Core, CoreDeps};
 use crate::error::HostError;
-use crate::gossip_events;
 use crate::http_connector::HttpConnector;
+use crate::news;
 
 /// Interval between ticks of the reducer.
 const TICK_INTERVAL: Ms = Ms(50);
@@ -89,7 +89,7 @@
         )
         .await?;
         let tasks = vec![
-            tokio::spawn(gossip_events::forward(core.clone(), gossip_rx)),
+            tokio::spawn(news::forward(core.clone(), gossip_rx)),
             tokio::spawn(run_ticks(core.clone(), wakeup_rx)),
         ];
         note!(
