--- a/crates/fakes/src/gate.rs
+++ b/crates/fakes/src/gate.rs
@@ -1,4 +1,4 @@
-//! Hosts that are paused or killed in virtual time: what they call is held up.
+//! Simulates paused and killed hosts in virtual time by blocking their calls.
 
 use async_trait::async_trait;
 use base::{Ms, Version};
@@ -7,56 +7,56 @@
 use tokio::sync::watch;
 use wire::{Object, ObjectList};
 
-/// Holds a host's calls up while it is paused, for good once it is dead.
+/// Blocks a host's calls while it is paused, and forever once it is dead.
 ///
-/// To whoever looks from outside that is what a frozen or killed process does; timers inside it go
-/// on, which a frozen one's would not.
+/// Seen from outside, this is how a suspended or killed process behaves. Unlike those of a
+/// suspended process, the host's timers go on.
 #[derive(Debug)]
-pub struct Gate(watch::Sender<Is>);
+pub struct Gate(watch::Sender<HostState>);
 
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
-enum Is {
-    Awake,
+enum HostState {
+    Running,
     Paused,
     Dead,
 }
 
 impl Gate {
-    /// Of a host that is awake.
+    /// The gate of a running host.
     pub fn new() -> Self {
-        Self(watch::Sender::new(Is::Awake))
+        Self(watch::Sender::new(HostState::Running))
     }
 
-    /// Waits until the host is awake; never returns on a dead one.
+    /// Waits until the host is running; never returns for a dead one.
     pub async fn pass(&self) {
-        if self.0.subscribe().wait_for(|is| *is == Is::Awake).await.is_err() {
+        if self.0.subscribe().wait_for(|state| *state == HostState::Running).await.is_err() {
             std::future::pending::<()>().await;
         }
     }
 
     /// Waits until the host is dead.
     pub async fn dead(&self) {
-        // The sender lives in `self`, so the wait can't fail.
-        let _ = self.0.subscribe().wait_for(|is| *is == Is::Dead).await;
+        // The sender is held by `self`, so the wait can't fail.
+        let _ = self.0.subscribe().wait_for(|state| *state == HostState::Dead).await;
     }
 
     /// Whether the host is dead.
     pub fn is_dead(&self) -> bool {
-        *self.0.borrow() == Is::Dead
+        *self.0.borrow() == HostState::Dead
     }
 
     /// Kills the host.
     pub fn kill(&self) {
-        self.0.send_replace(Is::Dead);
+        self.0.send_replace(HostState::Dead);
     }
 
-    /// Pauses the host or wakes it up; a dead one stays dead.
+    /// Pauses or resumes the host; a dead one stays dead.
     pub fn pause(&self, paused: bool) {
-        let to = if paused { Is::Paused } else { Is::Awake };
-        self.0.send_if_modified(|is| {
-            let alive = *is != Is::Dead;
+        let to = if paused { HostState::Paused } else { HostState::Running };
+        self.0.send_if_modified(|state| {
+            let alive = *state != HostState::Dead;
             if alive {
-                *is = to;
+                *state = to;
             }
             alive
         });
@@ -69,7 +69,7 @@
     }
 }
 
-/// The platform as a host behind a gate calls it.
+/// The platform's API as called by a host behind a gate.
 pub struct GatedApi {
     /// The platform.
     pub inner: Arc<dyn Api>,
--- a/crates/fakes/src/lib.rs
+++ b/crates/fakes/src/lib.rs
@@ -1,6 +1,7 @@
-//! Small stand-ins for what the system meets: the platform's object API and the targets.
+//! Test doubles for the services that the system depends on: the platform's object API and the
+//! targets.
 //!
-//! They speak the same protocols over HTTP as the real ones, and fail on demand. Nothing here is
+//! They speak the same HTTP protocols as the real ones and inject faults on demand. Nothing here is
 //! linked into the daemon.
 
 mod gate;
--- a/crates/fakes/src/mem.rs
+++ b/crates/fakes/src/mem.rs
@@ -1,8 +1,7 @@
-//! The platform's object API in memory and in tokio's time, with seeded faults.
+//! The platform's object API in memory, timed by the tokio clock, with faults drawn from a seed.
 //!
-//! One [`MemStore`] is the platform; each host calls it through a [`MemApi`] of its own, so that
-//! one host can be cut off while others are not. Under a paused tokio clock the same seed and
-//! calls give the same history.
+//! One [`MemStore`] is the platform; each host calls it through its own [`MemApi`], so that single
+//! hosts can be cut off. With a paused tokio clock the same seed and calls give the same history.
 
 use async_trait::async_trait;
 use base::{Ms, Version};
@@ -17,30 +16,30 @@
 
 use crate::{Objects, PlatformStats};
 
-/// Older versions of each object that stale reads choose from.
-const HISTORY: usize = 4;
+/// Number of older versions per object that stale reads choose from.
+const MAX_OLD_VERSIONS: usize = 4;
 
-/// What a [`MemStore`] does wrong. Shares are percent of calls, drawn from the seed.
+/// Faults of a [`MemStore`]. Shares are percent of calls, drawn from the seed.
 #[derive(Clone, Debug, PartialEq, Eq)]
 pub struct MemFaults {
-    /// Nothing is reached and nothing done.
+    /// No call reaches the store.
     pub down: bool,
-    /// Asks to come back later; nothing is done.
+    /// Every call is rejected with a retry time.
     pub busy: bool,
-    /// Least time of a call, ms.
-    pub least_ms: Ms,
-    /// Most time of a call, ms.
-    pub most_ms: Ms,
-    /// Writes that take effect though their answer is lost, percent.
+    /// Minimum duration of a call.
+    pub min_ms: Ms,
+    /// Maximum duration of a call.
+    pub max_ms: Ms,
+    /// Writes that take effect although their answer is lost, percent.
     pub lost_answers: u8,
-    /// Writes whose answer is lost and that land `late_ms` later, percent.
+    /// Writes whose answer is lost and that take effect up to `late_ms` later, percent.
     pub late_writes: u8,
-    /// How much later at most, ms.
+    /// Maximum delay of late writes.
     pub late_ms: Ms,
-    /// Reads of one object that give an older version, percent.
+    /// Reads of one object that return an older version, percent.
     pub stale_reads: u8,
-    /// How long a caller waits for an answer that was lost, ms.
-    pub silence_ms: Ms,
+    /// How long a caller waits for a lost answer.
+    pub timeout_ms: Ms,
 }
 
 impl Default for MemFaults {
@@ -48,13 +47,13 @@
         Self {
             down: false,
             busy: false,
-            least_ms: Ms(2),
-            most_ms: Ms(6),
+            min_ms: Ms(2),
+            max_ms: Ms(6),
             lost_answers: 0,
             late_writes: 0,
             late_ms: Ms::secs(2),
             stale_reads: 0,
-            silence_ms: Ms(200),
+            timeout_ms: Ms(200),
         }
     }
 }
@@ -74,21 +73,21 @@
     stats: PlatformStats,
 }
 
-/// One caller's way to a [`MemStore`].
+/// One caller's access to a [`MemStore`].
 pub struct MemApi {
     store: Arc<MemStore>,
     caller: String,
 }
 
-/// What becomes of one write.
-enum Fate {
+/// Outcome of one write.
+enum WriteOutcome {
     Answered,
     Lost,
     Late(Ms),
 }
 
 impl MemStore {
-    /// An empty one.
+    /// Creates an empty store.
     pub fn new(seed: u64) -> Arc<Self> {
         let inner = Inner {
             objects: Objects::default(),
@@ -101,17 +100,17 @@
         Arc::new(Self { inner: Mutex::new(inner), changed: watch::Sender::new(0) })
     }
 
-    /// A caller's way to it; `caller` is what [`MemStore::cut`] names.
+    /// The API for one caller; `caller` is the name for [`MemStore::cut`].
     pub fn api(self: &Arc<Self>, caller: &str) -> Arc<MemApi> {
         Arc::new(MemApi { store: self.clone(), caller: caller.to_owned() })
     }
 
-    /// Sets its faults.
+    /// Sets the faults.
     pub fn set_faults(&self, faults: MemFaults) {
         self.lock().faults = faults;
     }
 
-    /// Cuts a caller off, or joins it again.
+    /// Cuts a caller off from the store, or reconnects it.
     pub fn cut(&self, caller: &str, cut: bool) {
         let mut inner = self.lock();
         if cut {
@@ -121,12 +120,12 @@
         }
     }
 
-    /// Calls that reached it so far.
+    /// Number of calls that reached the store so far.
     pub fn stats(&self) -> PlatformStats {
         self.lock().stats.clone()
     }
 
-    /// Its true content, for oracles.
+    /// The actual content, for test oracles.
     pub fn all(&self, kind: &str) -> ObjectList {
         self.lock().objects.list(kind, Version(0))
     }
@@ -143,7 +142,7 @@
         let version = inner.objects.put(kind, name, expected, body)?;
         let older = inner.older.entry((kind.to_owned(), name.to_owned())).or_default();
         older.extend(old);
-        if older.len() > HISTORY {
+        if older.len() > MAX_OLD_VERSIONS {
             older.remove(0);
         }
         drop(inner);
@@ -161,12 +160,14 @@
         percent > 0 && self.rng.random_range(0..100) < percent
     }
 
-    fn fate(&mut self) -> Fate {
+    fn outcome(&mut self) -> WriteOutcome {
         let MemFaults { lost_answers, late_writes, late_ms, .. } = self.faults;
         match () {
-            () if self.chance(lost_answers) => Fate::Lost,
-            () if self.chance(late_writes) => Fate::Late(Ms(self.rng.random_range(0..=late_ms.0))),
-            () => Fate::Answered,
+            () if self.chance(lost_answers) => WriteOutcome::Lost,
+            () if self.chance(late_writes) => {
+                WriteOutcome::Late(Ms(self.rng.random_range(0..=late_ms.0)))
+            }
+            () => WriteOutcome::Answered,
         }
     }
 
@@ -186,19 +187,19 @@
 }
 
 impl MemApi {
-    /// Spends the call's time, then fails it if the platform can't be reached.
+    /// Waits for the duration of a call, then fails if the platform can't be reached.
     async fn reach(&self) -> Result<(), StoreError> {
-        let (span, silence, down) = {
+        let (duration, timeout_ms, down) = {
             let mut inner = self.store.lock();
-            let MemFaults { least_ms, most_ms, silence_ms, .. } = inner.faults;
-            let span = Ms(inner.rng.random_range(least_ms.0..=most_ms.0.max(least_ms.0)));
-            (span, silence_ms, self.is_cut(&inner))
+            let MemFaults { min_ms, max_ms, timeout_ms, .. } = inner.faults;
+            let duration = Ms(inner.rng.random_range(min_ms.0..=max_ms.0.max(min_ms.0)));
+            (duration, timeout_ms, self.is_cut(&inner))
         };
-        if down || span > silence {
-            sleep(span.min(silence).duration()).await;
+        if down || duration > timeout_ms {
+            sleep(duration.min(timeout_ms).duration()).await;
             return Err(StoreError::Down);
         }
-        sleep(span.duration()).await;
+        sleep(duration.duration()).await;
         let inner = self.store.lock();
         match () {
             () if self.is_cut(&inner) => Err(StoreError::Down),
@@ -236,26 +237,26 @@
         body: &str,
     ) -> Result<Version, StoreError> {
         self.reach().await?;
-        let (fate, silence) = {
+        let (outcome, timeout_ms) = {
             let mut inner = self.store.lock();
             inner.stats.writes += 1;
-            (inner.fate(), inner.faults.silence_ms)
+            (inner.outcome(), inner.faults.timeout_ms)
         };
-        match fate {
-            Fate::Answered => self.store.put_now(kind, name, expected, body),
-            Fate::Lost => {
+        match outcome {
+            WriteOutcome::Answered => self.store.put_now(kind, name, expected, body),
+            WriteOutcome::Lost => {
                 let _ = self.store.put_now(kind, name, expected, body);
-                sleep(silence.duration()).await;
+                sleep(timeout_ms.duration()).await;
                 Err(StoreError::Doubt)
             }
-            Fate::Late(after) => {
+            WriteOutcome::Late(after) => {
                 let store = self.store.clone();
                 let (kind, name, body) = (kind.to_owned(), name.to_owned(), body.to_owned());
                 tokio::spawn(async move {
                     sleep(after.duration()).await;
                     let _ = store.put_now(&kind, &name, expected, &body);
                 });
-                sleep(silence.duration()).await;
+                sleep(timeout_ms.duration()).await;
                 Err(StoreError::Doubt)
             }
         }
--- a/crates/fakes/src/objects.rs
+++ b/crates/fakes/src/objects.rs
@@ -1,14 +1,14 @@
-//! The object API's content: versioned objects under conditional writes.
+//! Content of the object API: versioned objects with conditional writes.
 
 use base::Version;
 use std::collections::{BTreeMap, HashMap};
 use store::StoreError;
 use wire::{Object, ObjectList};
 
-/// Largest value that the platform holds, bytes.
+/// Size limit of the platform for one object's body, bytes.
 const VALUE_BYTES: usize = 1 << 20;
 
-/// Objects by kind and name. One counter gives all versions, so they order all writes.
+/// Objects by kind and name. One counter assigns all versions, so versions order all writes.
 #[derive(Debug, Default)]
 pub struct Objects {
     version: u64,
@@ -21,7 +21,7 @@
         self.objects.get(&(kind.to_owned(), name.to_owned()))
     }
 
-    /// A copy of everything, as stale reads see it later.
+    /// A snapshot of all objects, for stale reads.
     pub fn all(&self) -> HashMap<(String, String), Object> {
         self.objects.clone().into_iter().collect()
     }
@@ -32,7 +32,7 @@
         ObjectList { version: self.version, objects: objects.cloned().collect() }
     }
 
-    /// Writes if the object is at `expected`; zero means that it must not exist.
+    /// Writes an object if its version is `expected`; zero means that it must not exist.
     pub fn put(
         &mut self,
         kind: &str,
--- a/crates/fakes/src/platform.rs
+++ b/crates/fakes/src/platform.rs
@@ -1,4 +1,4 @@
-//! The platform's object API as a small HTTP server, with faults.
+//! The platform's object API as a small HTTP server with faults.
 
 use base::{Ms, Version};
 use bytes::Bytes;
@@ -22,32 +22,32 @@
 /// Largest request body that is read, bytes.
 const BODY_BYTES: usize = 4 << 20;
 
-/// What the platform does wrong, set by `POST /faults`.
+/// Faults of the platform, set by `POST /faults`.
 #[derive(Clone, Debug, Default, PartialEq, Serialize, Deserialize)]
 #[serde(default, deny_unknown_fields)]
 pub struct PlatformFaults {
-    /// Closes each connection without an answer, and does nothing.
+    /// Closes each connection without an answer and has no effect.
     pub down: bool,
-    /// Waits before each answer, ms.
+    /// Delay before each answer, ms.
     pub slow_ms: u64,
-    /// Writes that take effect though the connection closes without an answer, counted down.
+    /// Number of further writes that take effect although the connection closes without an answer.
     pub lose_answers: u32,
     /// Keeps connections open and never answers.
     pub silent: bool,
     /// Answers 503 with Retry-After.
     pub busy: bool,
-    /// Reads give the content as it was when this was switched on.
+    /// Reads return the content as it was when this fault was switched on.
     pub stale: bool,
 }
 
-/// Calls that the platform counted.
+/// Numbers of calls to the platform.
 #[derive(Clone, Debug, Default, PartialEq, Eq, Serialize, Deserialize)]
 pub struct PlatformStats {
     /// Reads of one object or a list.
     pub reads: u64,
     /// Writes, conflicting ones included.
     pub writes: u64,
-    /// Watches; a waiting one counts once.
+    /// Watches; one that waits counts once.
     pub watches: u64,
 }
 
@@ -67,13 +67,13 @@
 #[derive(Default)]
 struct Inner {
     objects: Objects,
-    frozen: Option<HashMap<(String, String), wire::Object>>,
+    snapshot: Option<HashMap<(String, String), wire::Object>>,
     faults: PlatformFaults,
     stats: PlatformStats,
 }
 
 impl Platform {
-    /// Starts it; port 0 takes a free one.
+    /// Starts the server; port 0 picks a free port.
     pub async fn start(addr: SocketAddr) -> io::Result<Self> {
         let listener = TcpListener::bind(addr).await?;
         let addr = listener.local_addr()?;
@@ -102,7 +102,7 @@
         self.state.lock().stats.clone()
     }
 
-    /// Its content, for tests that look behind the protocol.
+    /// The content, for tests that check it without the protocol.
     pub fn list(&self, kind: &str) -> ObjectList {
         self.state.lock().objects.list(kind, Version(0))
     }
@@ -122,7 +122,7 @@
 
     fn set_faults(&self, faults: PlatformFaults) {
         let mut inner = self.lock();
-        inner.frozen = match (&inner.frozen, faults.stale) {
+        inner.snapshot = match (&inner.snapshot, faults.stale) {
             (_, false) => None,
             (Some(old), true) => Some(old.clone()),
             (None, true) => Some(inner.objects.all()),
@@ -157,7 +157,7 @@
     }
 
     async fn faults(&self, request: Request<Incoming>) -> Response<Body> {
-        match settable(request).await {
+        match parse_faults(request).await {
             Ok(faults) => {
                 self.set_faults(faults);
                 status(StatusCode::NO_CONTENT)
@@ -220,7 +220,7 @@
         name: &str,
         request: Request<Incoming>,
     ) -> Option<Response<Body>> {
-        let Some(expected) = condition(&request) else {
+        let Some(expected) = expected_version(&request) else {
             return Some(status(StatusCode::PRECONDITION_REQUIRED));
         };
         let Ok(body) = read(request.into_body(), BODY_BYTES).await else {
@@ -242,9 +242,9 @@
         }
         match result {
             _ if lost => None,
-            Ok(version) => Some(tagged(StatusCode::OK, version)),
+            Ok(version) => Some(with_etag(StatusCode::OK, version)),
             Err(StoreError::Conflict { current }) => {
-                Some(tagged(StatusCode::PRECONDITION_FAILED, current))
+                Some(with_etag(StatusCode::PRECONDITION_FAILED, current))
             }
             Err(_) => Some(status(StatusCode::PAYLOAD_TOO_LARGE)),
         }
@@ -253,15 +253,17 @@
 
 impl Inner {
     fn read(&self, kind: &str, name: &str) -> Option<wire::Object> {
-        match &self.frozen {
-            Some(frozen) => frozen.get(&(kind.to_owned(), name.to_owned())).cloned(),
+        match &self.snapshot {
+            Some(snapshot) => snapshot.get(&(kind.to_owned(), name.to_owned())).cloned(),
             None => self.objects.get(kind, name).cloned(),
         }
     }
 
     fn list(&self, kind: &str, after: Version) -> ObjectList {
-        let Some(frozen) = &self.frozen else { return self.objects.list(kind, after) };
-        let old = frozen.values().filter(|o| o.kind == kind && o.version > after.0);
+        let Some(snapshot) = &self.snapshot else {
+            return self.objects.list(kind, after);
+        };
+        let old = snapshot.values().filter(|o| o.kind == kind && o.version > after.0);
         let objects: Vec<_> = old.cloned().collect();
         let version = objects.iter().map(|o| o.version).max().unwrap_or(after.0);
         ObjectList { version, objects }
@@ -276,22 +278,22 @@
     ) -> Response<Body> {
         match self.answer(request).await {
             Some(response) => response,
-            None => cut(),
+            None => closed_connection(),
         }
     }
 }
 
-/// A response whose body breaks off at once, so that the connection closes without an answer.
-pub(crate) fn cut() -> Response<Body> {
-    // A body of known length would be sent as it is, and the answer would be whole.
+/// A response whose body ends too early, so that the connection closes without an answer.
+pub(crate) fn closed_connection() -> Response<Body> {
+    // This needs a streamed body: one of known length would be sent as a complete answer.
     let (_, none) = mpsc::channel(1);
     let mut response = Response::new(stream(none));
     response.headers_mut().insert(header::CONTENT_LENGTH, header::HeaderValue::from(1));
     response
 }
 
-/// Reads a body as faults to set, or says what is wrong with it.
-pub(crate) async fn settable<T: DeserializeOwned>(
+/// Parses a request body as faults; the error is a response that says what is wrong.
+pub(crate) async fn parse_faults<T: DeserializeOwned>(
     request: Request<Incoming>,
 ) -> Result<T, Box<Response<Body>>> {
     let wrong = |text: String| {
@@ -318,13 +320,13 @@
     query?.split('&').find_map(|pair| pair.strip_prefix(name)?.strip_prefix('='))
 }
 
-fn tagged(status: StatusCode, version: Version) -> Response<Body> {
+fn with_etag(status: StatusCode, version: Version) -> Response<Body> {
     let mut response = self::status(status);
     response.headers_mut().insert(header::ETAG, header::HeaderValue::from(version.0));
     response
 }
 
-fn condition(request: &Request<Incoming>) -> Option<Version> {
+fn expected_version(request: &Request<Incoming>) -> Option<Version> {
     let headers = request.headers();
     if headers.get(header::IF_NONE_MATCH).is_some_and(|v| v == "*") {
         return Some(Version(0));
--- a/crates/fakes/src/target.rs
+++ b/crates/fakes/src/target.rs
@@ -1,4 +1,5 @@
-//! A target as a small HTTP server: a model engine, a stage pool's member or a plain service.
+//! A fake target as a small HTTP server: a model engine, a member of a stage pool, or a plain
+//! service.
 
 use base::{Ms, hash_parts};
 use bytes::Bytes;
@@ -16,17 +17,17 @@
 use tokio::task::JoinHandle;
 use wire::{CacheEvent, CacheEvents, EngineState, LoadReport, Order, Piece, StageCall, StageReply};
 
-use crate::platform::{cut, param, settable, status, text_param};
+use crate::platform::{closed_connection, param, parse_faults, status, text_param};
 use crate::target_config::{TargetConfig, TargetFaults, TargetStats};
-use crate::target_guard::{Running, Slot, Waiting};
+use crate::target_guard::{QueueGuard, RunGuard, SlotGuard};
 use crate::text::{expected_output, generated, token};
 
-/// Largest call that is read, bytes.
+/// Size limit of a call's body, bytes.
 const BODY_BYTES: usize = 8 << 20;
-/// Prefixes that an engine's cache holds.
+/// Capacity of an engine's prefix cache.
 const CACHED_PREFIXES: usize = 64;
-/// Cache events that are kept for readers.
-const KEPT_EVENTS: usize = 1024;
+/// Number of cache events that are kept for readers.
+const MAX_EVENTS: usize = 1024;
 
 /// A running target.
 pub struct Target {
@@ -53,7 +54,7 @@
     /// Ended calls, oldest first.
     pub(crate) ended: VecDeque<String>,
     cache: VecDeque<String>,
-    /// Cache events, and when each happened.
+    /// Cache events, each with its time.
     events: VecDeque<(Ms, CacheEvent)>,
     next_event: u64,
     loads: VecDeque<LoadReport>,
@@ -63,7 +64,8 @@
 #[derive(Clone, Serialize)]
 #[serde(tag = "state", rename_all = "snake_case")]
 pub(crate) enum Call {
-    /// Under way; `tokens` is how far its stream is, wherever it began.
+    /// In progress; `tokens` is the position of its stream, counted from the start of the answer
+    /// even if the stream was resumed.
     Running {
         tokens: u32,
     },
@@ -73,7 +75,7 @@
 }
 
 impl Target {
-    /// Starts it.
+    /// Starts the server.
     pub async fn start(config: TargetConfig) -> io::Result<Self> {
         let listener = TcpListener::bind(config.addr).await?;
         let addr = listener.local_addr()?;
@@ -104,7 +106,7 @@
         self.state.lock().faults = faults;
     }
 
-    /// What it did so far.
+    /// Its counters so far.
     pub fn stats(&self) -> TargetStats {
         self.state.lock().stats.clone()
     }
@@ -141,11 +143,11 @@
 
     fn is_down(&self) -> bool {
         let inner = self.lock();
-        inner.faults.down || wall() < inner.down_until
+        inner.faults.down || wall_clock() < inner.down_until
     }
 
     async fn set(&self, request: Request<Incoming>) -> Response<Body> {
-        match settable(request).await {
+        match parse_faults(request).await {
             Ok(faults) => {
                 self.lock().faults = faults;
                 status(StatusCode::NO_CONTENT)
@@ -168,25 +170,25 @@
         if !faults.crash_on.is_empty() && call.input.contains(&faults.crash_on) {
             let mut inner = self.lock();
             inner.stats.crashes += 1;
-            inner.down_until = wall() + Ms(faults.crash_ms);
+            inner.down_until = wall_clock() + Ms(faults.crash_ms);
             return None;
         }
         self.lock().queued += 1;
-        let waiting = Waiting(self.clone());
+        let waiting = QueueGuard(self.clone());
         let state = self.clone();
         let permit = state.slots.acquire().await.ok()?;
         permit.forget();
         drop(waiting);
-        let slot = Slot(self.clone());
+        let slot = SlotGuard(self.clone());
         let running = self.begin(&call);
-        let cached = self.touch(&call.prefix);
+        let cached = self.use_prefix(&call.prefix);
         match self.config.engine {
             true => Some(self.generate(call, faults, running, slot, cached)),
-            false => self.whole(call, faults, running, slot).await,
+            false => self.run_stage(call, faults, running, slot).await,
         }
     }
 
-    fn begin(self: &Arc<Self>, call: &StageCall) -> Running {
+    fn begin(self: &Arc<Self>, call: &StageCall) -> RunGuard {
         let id = call_id(&call.request, &call.stage, call.attempt);
         let mut inner = self.lock();
         inner.running += 1;
@@ -195,24 +197,25 @@
             *inner.stats.keys.entry(call.key.clone()).or_default() += 1;
         }
         inner.calls.insert(id.clone(), Call::Running { tokens: call.offset });
-        Running { state: self.clone(), id, ended: false }
+        RunGuard { state: self.clone(), id, ended: false }
     }
 
-    async fn whole(
+    async fn run_stage(
         self: Arc<Self>,
         call: StageCall,
         faults: TargetFaults,
-        mut running: Running,
-        slot: Slot,
+        mut running: RunGuard,
+        slot: SlotGuard,
     ) -> Option<Response<Body>> {
         let time = Ms(self.config.call_ms * faults.slow.max(1));
-        // The runtime's shortest sleep is a millisecond, which would hide what a host adds.
+        // No sleep for a time of zero: the runtime's shortest sleep is a millisecond, which would
+        // hide the latency that a host adds.
         if time > Ms::ZERO {
             tokio::time::sleep(time.duration()).await;
         }
         let reply = StageReply {
             output: expected_output(&call.stage, &call.input),
-            request: owner(&call, &faults),
+            request: answered_request(&call, &faults),
             stage: call.stage,
             attempt: call.attempt,
             tokens_in: tokens(&call.input),
@@ -230,8 +233,8 @@
         self: Arc<Self>,
         call: StageCall,
         faults: TargetFaults,
-        mut running: Running,
-        slot: Slot,
+        mut running: RunGuard,
+        slot: SlotGuard,
         cached: bool,
     ) -> Response<Body> {
         let (tx, rx) = mpsc::channel::<Bytes>(16);
@@ -239,18 +242,18 @@
             let read = tokens(&call.input);
             let prompt = if cached { self.config.call_ms / 4 } else { self.config.call_ms };
             let slow = faults.slow.max(1);
-            if sleep_or_gone(&tx, Ms(prompt * slow)).await.is_err() {
+            if sleep_or_disconnect(&tx, Ms(prompt * slow)).await.is_err() {
                 return;
             }
             for offset in call.offset..call.max_tokens {
-                if sleep_or_gone(&tx, Ms(self.config.token_ms * slow)).await.is_err() {
+                if sleep_or_disconnect(&tx, Ms(self.config.token_ms * slow)).await.is_err() {
                     return;
                 }
                 if faults.cut_after > 0 && offset - call.offset >= faults.cut_after {
                     return;
                 }
                 let piece = Piece {
-                    request: owner(&call, &faults),
+                    request: answered_request(&call, &faults),
                     stage: call.stage.clone(),
                     attempt: call.attempt,
                     offset,
@@ -285,8 +288,8 @@
         Response::new(stream(rx))
     }
 
-    /// Whether the prefix was cached; it is afterwards.
-    fn touch(&self, prefix: &str) -> bool {
+    /// Adds a prefix to the cache and returns whether it was cached before.
+    fn use_prefix(&self, prefix: &str) -> bool {
         if prefix.is_empty() || !self.config.engine {
             return false;
         }
@@ -297,18 +300,18 @@
         }
         inner.cache.push_back(prefix.to_owned());
         if known.is_none() {
-            inner.tell(prefix, true);
+            inner.publish_cache_event(prefix, true);
         }
         if inner.cache.len() > CACHED_PREFIXES {
             let old = inner.cache.pop_front().unwrap_or_default();
-            inner.tell(&old, false);
+            inner.publish_cache_event(&old, false);
         }
         known.is_some()
     }
 
     fn load(&self) -> LoadReport {
         let mut inner = self.lock();
-        let now = wall();
+        let now = wall_clock();
         let report = LoadReport {
             target: self.config.name.clone(),
             running: inner.running,
@@ -339,9 +342,9 @@
     fn events(&self, query: Option<&str>) -> Response<Body> {
         let since = param(query, "since").unwrap_or(0);
         let inner = self.lock();
-        let told = wall() - Ms(inner.faults.late_events_ms);
-        let ripe = inner.events.iter().filter(|(at, _)| *at <= told).map(|(_, e)| e);
-        let events: Vec<_> = ripe.filter(|e| e.seq >= since).cloned().collect();
+        let visible_until = wall_clock() - Ms(inner.faults.late_events_ms);
+        let visible = inner.events.iter().filter(|(at, _)| *at <= visible_until).map(|(_, e)| e);
+        let events: Vec<_> = visible.filter(|e| e.seq >= since).cloned().collect();
         let next = match inner.faults.late_events_ms {
             0 => inner.next_event,
             _ => events.last().map_or(since, |e| e.seq + 1),
@@ -373,15 +376,16 @@
 }
 
 impl Inner {
-    fn tell(&mut self, prefix: &str, stored: bool) {
+    fn publish_cache_event(&mut self, prefix: &str, stored: bool) {
         let seq = self.next_event;
         self.next_event += 1;
         let lost = self.faults.lose_events > 0 && seq.is_multiple_of(self.faults.lose_events);
         if lost {
             return;
         }
-        self.events.push_back((wall(), CacheEvent { seq, prefix: prefix.to_owned(), stored }));
-        if self.events.len() > KEPT_EVENTS {
+        self.events
+            .push_back((wall_clock(), CacheEvent { seq, prefix: prefix.to_owned(), stored }));
+        if self.events.len() > MAX_EVENTS {
             self.events.pop_front();
         }
     }
@@ -395,12 +399,12 @@
     ) -> Response<Body> {
         match self.answer(request).await {
             Some(response) => response,
-            None => cut(),
+            None => closed_connection(),
         }
     }
 }
 
-async fn sleep_or_gone(tx: &mpsc::Sender<Bytes>, time: Ms) -> Result<(), ()> {
+async fn sleep_or_disconnect(tx: &mpsc::Sender<Bytes>, time: Ms) -> Result<(), ()> {
     tokio::select! {
         () = tokio::time::sleep(time.duration()) => Ok(()),
         () = tx.closed() => Err(()),
@@ -411,7 +415,7 @@
     format!("{request}/{stage}/{attempt}")
 }
 
-fn owner(call: &StageCall, faults: &TargetFaults) -> String {
+fn answered_request(call: &StageCall, faults: &TargetFaults) -> String {
     match faults.mismatch {
         true => format!("{:032x}", hash_parts(&[call.request.as_bytes()])),
         false => call.request.clone(),
@@ -422,7 +426,7 @@
     input.len().div_ceil(4) as u32
 }
 
-fn wall() -> Ms {
+fn wall_clock() -> Ms {
     let since = SystemTime::now().duration_since(UNIX_EPOCH).unwrap_or_default();
     Ms(since.as_millis() as u64)
 }
--- a/crates/fakes/src/target_guard.rs
+++ b/crates/fakes/src/target_guard.rs
@@ -1,21 +1,21 @@
-//! What a call holds of its target, given back when it ends in any way.
+//! Guards for what a call holds of its target, released when the call ends in any way.
 
 use std::sync::Arc;
 use wire::StageReply;
 
 use crate::target::{Call, State};
 
-/// Ended calls whose results are kept for those who ask again.
-const KEPT_CALLS: usize = 1024;
+/// Number of ended calls whose results are kept for later queries.
+const MAX_ENDED_CALLS: usize = 1024;
 
-/// Counts a call as running, and as cancelled unless it is told that it ended.
-pub(crate) struct Running {
+/// Counts a call as running; counts it as cancelled if it is dropped before [`Self::end`].
+pub(crate) struct RunGuard {
     pub(crate) state: Arc<State>,
     pub(crate) id: String,
     pub(crate) ended: bool,
 }
 
-impl Running {
+impl RunGuard {
     pub(crate) fn progress(&self, tokens: u32) {
         self.state.lock().calls.insert(self.id.clone(), Call::Running { tokens });
     }
@@ -26,14 +26,14 @@
         inner.stats.done += 1;
         inner.calls.insert(self.id.clone(), Call::Done { reply });
         inner.ended.push_back(self.id.clone());
-        if inner.ended.len() > KEPT_CALLS {
+        if inner.ended.len() > MAX_ENDED_CALLS {
             let old = inner.ended.pop_front().unwrap_or_default();
             inner.calls.remove(&old);
         }
     }
 }
 
-impl Drop for Running {
+impl Drop for RunGuard {
     fn drop(&mut self) {
         let mut inner = self.state.lock();
         inner.running -= 1;
@@ -44,19 +44,19 @@
     }
 }
 
-/// A place in the queue, given back when dropped.
-pub(crate) struct Waiting(pub(crate) Arc<State>);
+/// A place in the queue, released on drop.
+pub(crate) struct QueueGuard(pub(crate) Arc<State>);
 
-impl Drop for Waiting {
+impl Drop for QueueGuard {
     fn drop(&mut self) {
         self.0.lock().queued -= 1;
     }
 }
 
-/// A slot, given back when dropped.
-pub(crate) struct Slot(pub(crate) Arc<State>);
+/// A slot, released on drop.
+pub(crate) struct SlotGuard(pub(crate) Arc<State>);
 
-impl Drop for Slot {
+impl Drop for SlotGuard {
     fn drop(&mut self) {
         self.0.slots.add_permits(1);
     }
--- a/crates/fakes/src/text.rs
+++ b/crates/fakes/src/text.rs
@@ -1,5 +1,5 @@
-//! What the stand-ins answer: text that follows from the input alone, so that a test can tell a
-//! whole answer from a cut, doubled or foreign one.
+//! Content of the fake targets' answers: text derived from the input alone, so that a test can tell
+//! the correct answer from one that is truncated, duplicated or meant for another request.
 
 use base::hash_parts;
 
@@ -13,7 +13,7 @@
     (0..tokens).map(|i| token(input, i)).collect()
 }
 
-/// What a stage that doesn't generate answers.
+/// The answer of a stage that isn't run by an engine.
 pub fn expected_output(stage: &str, input: &str) -> String {
     format!("{stage}:{:016x}", hash_parts(&[stage.as_bytes(), input.as_bytes()]))
 }
