--- a/crates/fakes/src/platform.rs
+++ b/crates/fakes/src/platform.rs
@@ -260,9 +260,7 @@
     }
 
     fn list(&self, kind: &str, after: Version) -> ObjectList {
-        let Some(snapshot) = &self.snapshot else {
-            return self.objects.list(kind, after);
-        };
+        let Some(snapshot) = &self.snapshot else { return self.objects.list(kind, after) };
         let old = snapshot.values().filter(|o| o.kind == kind && o.version > after.0);
         let objects: Vec<_> = old.cloned().collect();
         let version = objects.iter().map(|o| o.version).max().unwrap_or(after.0);
--- a/crates/model/src/stages/faults.rs
+++ b/crates/model/src/stages/faults.rs
@@ -5,7 +5,7 @@
 
 use super::design::{Design, Fault};
 use super::path::TARGETS;
-use super::play::{SimEvent, World};
+use super::simulation::{SimEvent, World};
 use super::targets::Target;
 
 /// Start and end of the fault.
--- a/crates/model/src/stages/mod.rs
+++ b/crates/model/src/stages/mod.rs
@@ -13,10 +13,10 @@
 mod design;
 mod faults;
 mod path;
-mod play;
 mod requests;
+mod simulation;
 mod targets;
 
 pub use design::{Design, Fault, Load, RunStats};
 pub use path::KINDS;
-pub use play::{RUN_LENGTH, simulate};
+pub use simulation::{RUN_LENGTH, simulate};
--- a/crates/model/src/stages/requests.rs
+++ b/crates/model/src/stages/requests.rs
@@ -7,7 +7,7 @@
 
 use super::design::{Design, Fault};
 use super::path::{self, ENGINE_TIME, KINDS, REQUEST_LIFETIME, TARGETS};
-use super::play::{Request, SimEvent, World};
+use super::simulation::{Request, SimEvent, World};
 use super::targets::name;
 
 /// How long a host gathers pieces in [`Design::Window`]: about a third of a call's time.
--- a/crates/model/src/world.rs
+++ b/crates/model/src/world.rs
@@ -38,7 +38,7 @@
 
 /// Simulates a run to its end.
 pub fn run(run: Run<'_>) -> Outcome {
-    World::new(run).play()
+    World::new(run).run_to_end()
 }
 
 impl Run<'_> {
@@ -178,7 +178,7 @@
         self.events.schedule(START, SimEvent::Report);
     }
 
-    fn play(mut self) -> Outcome {
+    fn run_to_end(mut self) -> Outcome {
         self.drive();
         let open = (0..self.requests.len()).filter(|&i| !self.requests[i].answered);
         self.tally.broken.extend(open.map(|i| BrokenPromise::Unanswered(request_id(i))));
--- a/crates/model/tests/callers.rs
+++ b/crates/model/tests/callers.rs
@@ -187,8 +187,8 @@
         let script = pattern.script();
         for deployment in Deployment::ALL {
             let model = deployment.model().expect("the example is valid");
-            let play = |policy| run(Run { model: &model, script: &script, policy, seed: 1 });
-            let (naive, full) = (play(Policy::Naive), play(Policy::Full));
+            let run_policy = |policy| run(Run { model: &model, script: &script, policy, seed: 1 });
+            let (naive, full) = (run_policy(Policy::Naive), run_policy(Policy::Full));
             assert!(full.cross_bytes * 2 <= naive.cross_bytes, "{}", deployment.as_str());
         }
     }
--- a/crates/model/tests/differential.rs
+++ b/crates/model/tests/differential.rs
@@ -16,11 +16,11 @@
     let mut worse = Vec::new();
     for pattern in patterns {
         let script = pattern.script();
-        let play = |policy| {
+        let run_policy = |policy| {
             let one = |seed| run(Run { model: &model, script: &script, policy, seed });
             SEEDS.map(one).to_vec()
         };
-        let (naive, full) = (mean(&play(Policy::Naive)), mean(&play(Policy::Full)));
+        let (naive, full) = (mean(&run_policy(Policy::Naive)), mean(&run_policy(Policy::Full)));
         if full < naive - TOLERANCE {
             worse.push(format!("{}: {full:.4} below {naive:.4}", pattern.as_str()));
         }
